--- a/stepsail/proxy/application.py
+++ b/stepsail/proxy/application.py
@@ -64,8 +64,8 @@
         if self.policy_service.enabled:
             self.listener.admission.policy_gate = self.policy_service
             client_protocol.offer_policy = self.policy_service.propose
-        client_protocol.pages[b"fleet"] = self.membership.page
-        client_protocol.pages[b"policy"] = self.policy_service.page
+        client_protocol.pages[b"fleet"] = self.membership.status_page
+        client_protocol.pages[b"policy"] = self.policy_service.status_page
         self.background_tasks: list[Task] = []
         self.capture = self._start_capture()
 
--- a/stepsail/proxy/attempt_outcome.py
+++ b/stepsail/proxy/attempt_outcome.py
@@ -1,8 +1,8 @@
-"""From bytes to an outcome: how an attempt ended, and so whether it may have run. No I/O, no clock.
+"""Derives an attempt's outcome from how its exchange ended, and so whether it may have run. No I/O, no clock.
 
-What counts is what left this process: not one byte of the request written means that it never ran; one byte
-written and no complete response means that it may have run, whatever closed the connection. A server that says
-that it did not run is believed.
+The outcome depends on the bytes that left this process. If no byte of the request was written, the attempt
+never ran. If at least one byte was written and no complete response was read, it may have run, whatever
+closed the connection. A server's statement that it did not run the request is trusted.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 
 from stepsail.decisions.interface import AttemptOutcome
 
-NOT_RUN_HEADER = b"stepsail-not-run"  # of a server's 503: the request was not begun
+NOT_RUN_HEADER = b"stepsail-not-run"  # on a 503 response: the server has not begun the request
 NOT_RUN_STATUS = 503
-FIRST_SERVER_ERROR = 500  # of the statuses that a server gives for its own faults
+FIRST_SERVER_ERROR = 500  # lowest status that reports an error of the server
 
 
 class ExchangeEnd(Enum):
-    """What ended an exchange with a server."""
+    """Names what ended an exchange with a server."""
 
-    NOT_STARTED = "the request was finished, its time over, or a bound of this instance reached"
-    CONNECT_FAILED = "refused, reset or hung while connecting, or a certificate that is not to be trusted"
+    NOT_STARTED = "not sent: the request was finished, its deadline past, or a limit of this instance reached"
+    CONNECT_FAILED = "connecting was refused, reset or timed out, or the server's certificate was not trusted"
     COMPLETED = "a complete response was read"
-    CONNECTION_BROKEN = "closed or reset, before a response or inside one"
-    INVALID_RESPONSE = "a response that is no HTTP, or beyond the bounds"
-    TIMED_OUT = "the attempt's time ran out"
-    CANCELLED = "the router cancelled it"
+    CONNECTION_BROKEN = "the connection was closed or reset before the response was complete"
+    INVALID_RESPONSE = "the response was not valid HTTP, or exceeded a limit"
+    TIMED_OUT = "the attempt's deadline passed"
+    CANCELLED = "the router cancelled the attempt"
 
 
 OUTCOME_AFTER_FIRST_BYTE = {
@@ -36,15 +36,22 @@
     ExchangeEnd.CANCELLED: AttemptOutcome.CANCELLED,
 }
 NEVER_RAN = frozenset((AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT))
-"""The outcomes that show that an attempt did not run; all others mean that it may have."""
+"""Outcomes that show that an attempt did not run; with any other outcome it may have run."""
 
 
 def attempt_outcome(
-    end: ExchangeEnd, bytes_written: int, status: int = 0, says_not_run: bool = False
+    end: ExchangeEnd, bytes_written: int, status: int = 0, has_not_run_header: bool = False
 ) -> AttemptOutcome:
-    """The outcome of an attempt; `bytes_written`: of the request, on the connection that was used last."""
+    """Return the outcome of an attempt.
+
+    Args:
+        end: What ended the exchange.
+        bytes_written: Bytes of the request written to the connection that was used last.
+        status: Status of the response, if one was read.
+        has_not_run_header: Whether the response has the header `NOT_RUN_HEADER`.
+    """
     if end is ExchangeEnd.COMPLETED:
-        if status == NOT_RUN_STATUS and says_not_run:
+        if status == NOT_RUN_STATUS and has_not_run_header:
             return AttemptOutcome.REJECTED
         is_server_error = status >= FIRST_SERVER_ERROR
         return AttemptOutcome.FAILED if is_server_error else AttemptOutcome.SERVED
--- a/stepsail/proxy/control_messages.py
+++ b/stepsail/proxy/control_messages.py
@@ -1,7 +1,6 @@
-"""JSON schemas of the messages of release control, endpoint discovery and clients.
+"""Defines JSON schemas for the messages of release control, endpoint discovery and clients.
 
-The field names are those on the wire. Members beyond the ones named here are passed over, so that a later sender may
-say more.
+The field names are those on the wire. Unknown fields are ignored, so that later senders may add fields.
 """
 
 from __future__ import annotations
@@ -17,15 +16,15 @@
 SECONDS: Schema = {"type": "number", "minimum": 0, "maximum": 1e9}
 SMALL_INTEGER: Schema = {"type": "integer", "minimum": 0, "maximum": 65535}
 COUNT: Schema = {"type": "integer", "minimum": 0, "maximum": 2**53}
-MAX_COUNTS = 10_000  # entries in one message of release control
+MAX_COUNTS = 10_000  # entries in one message from release control
 MAX_SERVERS = 20_000  # entries in one endpoint list
 
 
-def _object(required: Schema, optional: Schema | None = None) -> Schema:
+def _object_schema(required: Schema, optional: Schema | None = None) -> Schema:
     return {"type": "object", "properties": required | (optional or {}), "required": list(required)}
 
 
-RELEASE_STATE = _object(
+RELEASE_STATE = _object_schema(
     {
         "build": SMALL_INTEGER,
         "stage": {**SMALL_INTEGER, "maximum": 255},
@@ -34,7 +33,7 @@
         "age": SECONDS,
     }
 )
-CLASS_COUNTS = _object(
+CLASS_COUNTS = _object_schema(
     {
         "build": SMALL_INTEGER,
         "product": {"type": "string"},
@@ -45,7 +44,7 @@
     }
 )
 RELEASE_UPDATE = Draft202012Validator(
-    _object(
+    _object_schema(
         {"seq": COUNT},
         {
             "state": RELEASE_STATE,
@@ -53,8 +52,10 @@
         },
     )
 )
-VOTE_RECEIPT = Draft202012Validator(_object({"receipt": {"enum": list(RECEIPTS)}}, {"state": RELEASE_STATE}))
-ENDPOINT = _object(
+VOTE_RECEIPT = Draft202012Validator(
+    _object_schema({"receipt": {"enum": list(RECEIPTS)}}, {"state": RELEASE_STATE})
+)
+ENDPOINT = _object_schema(
     {
         "address": {"type": "string", "pattern": r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"},
         "zone": {"type": "string"},
@@ -69,7 +70,7 @@
     },
 )
 ENDPOINT_LIST = Draft202012Validator(
-    _object(
+    _object_schema(
         {
             "seq": COUNT,
             "whole": {"type": "boolean"},
@@ -78,5 +79,5 @@
     )
 )
 DISPUTE = Draft202012Validator(
-    _object({"server": {"type": "string"}, "product": {"type": "string"}, "age": SECONDS})
+    _object_schema({"server": {"type": "string"}, "product": {"type": "string"}, "age": SECONDS})
 )
--- a/stepsail/proxy/endpoint_cache.py
+++ b/stepsail/proxy/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The latest endpoint list on disk, so that an instance that starts again has one before discovery answers."""
+"""Caches the latest endpoint list on disk, so that a restarted instance has one before discovery answers."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 from stepsail.proxy.decision_host import Logger
 
 WRITE_INTERVAL = 0.5  # s between two writes, at least
-FINAL_WRITE_TIMEOUT = 2.0  # s that a process which stops waits for a write that is under way
-FINAL_WRITE_CHECK = 0.01  # s between looks at it
+FINAL_WRITE_TIMEOUT = 2.0  # s for which a stopping process waits for a write in progress
+FINAL_WRITE_CHECK_INTERVAL = 0.01  # s between two checks whether that write has finished
 
 
 class EndpointCache:
-    """Writes the list that `contents` returns. Does nothing without a file."""
+    """Writes the endpoints that `get_endpoints` returns to a file; does nothing if `file` is None."""
 
     def __init__(
-        self, loop: Loop, file: Path | None, log: Logger, contents: Callable[[], list[dict[str, Any]]]
+        self, loop: Loop, file: Path | None, log: Logger, get_endpoints: Callable[[], list[dict[str, Any]]]
     ) -> None:
         self.loop = loop
         self.file = file
         self.log = log
-        self.contents = contents
-        self.next_write = 0.0
+        self.get_endpoints = get_endpoints
+        self.next_write_at = 0.0
         self.is_writing = False
 
     def schedule_write(self) -> None:
-        """Write what the list is in a moment; calls until then change nothing."""
-        if self.file and self.next_write <= self.loop.now():
-            self.next_write = self.loop.now() + WRITE_INTERVAL
-            self.loop.call_later(WRITE_INTERVAL, partial(self._write_aside, self.file))
+        """Write the list after `WRITE_INTERVAL`; further calls until then have no effect."""
+        if self.file and self.next_write_at <= self.loop.now():
+            self.next_write_at = self.loop.now() + WRITE_INTERVAL
+            self.loop.call_later(WRITE_INTERVAL, partial(self._write_in_background, self.file))
 
-    def _write_aside(self, file: Path) -> None:
-        """Write where it holds up no task.
+    def _write_in_background(self, file: Path) -> None:
+        """Write the file outside the loop, so that a slow disk does not block any task.
 
-        The fault handled: a slow disk. With the write in the loop, every task stood still while the system put the
-        moved file on a busy disk, and responses came too late for their clients.
+        When the file was written in the loop, renaming it on a busy disk blocked all tasks, and clients
+        received their responses too late.
         """
         if self.is_writing:
-            self.loop.call_later(WRITE_INTERVAL, partial(self._write_aside, file))
+            self.loop.call_later(WRITE_INTERVAL, partial(self._write_in_background, file))
             return
         self.is_writing = True
         driver = self.loop.driver
@@ -54,26 +54,29 @@
 
         def write() -> None:
             error = _replace_file(file, data)
-            driver.call_threadsafe(partial(self._written, error))
+            driver.call_threadsafe(partial(self._write_finished, error))
 
         driver.run_blocking(write)
 
-    def _written(self, error: OSError | None) -> None:
+    def _write_finished(self, error: OSError | None) -> None:
         self.is_writing = False
         self._log_error(error)
 
     def write_now(self) -> None:
-        """Write the list at once, as this process stops; after a write that is under way."""
+        """Write the list before this process stops, once a write in progress has finished.
+
+        If that takes longer than `FINAL_WRITE_TIMEOUT`, the list is not written.
+        """
         if self.file is None:
             return
         deadline = self.loop.now() + FINAL_WRITE_TIMEOUT
         while self.is_writing and self.loop.now() < deadline:
-            self.loop.sleep(FINAL_WRITE_CHECK)
+            self.loop.sleep(FINAL_WRITE_CHECK_INTERVAL)
         if not self.is_writing:
             self._log_error(_replace_file(self.file, self._encode()))
 
     def _encode(self) -> bytes:
-        body = msgspec.json.encode({"seq": 0, "whole": True, "servers": self.contents()})
+        body = msgspec.json.encode({"seq": 0, "whole": True, "servers": self.get_endpoints()})
         return b"%08x\n%s" % (zlib.crc32(body), body)
 
     def _log_error(self, error: OSError | None) -> None:
@@ -82,9 +85,9 @@
 
 
 def _replace_file(file: Path, data: bytes) -> OSError | None:
-    """Write a new file and move it in place; the error, where the earlier file stays.
+    """Write a new file and rename it over the old one; return the error if that fails, and keep the old file.
 
-    There is no fsync: a torn file is found by its checksum.
+    No fsync is needed: the checksum reveals a torn file.
     """
     new_file = file.with_name(file.name + ".new")
     try:
@@ -96,7 +99,7 @@
 
 
 def read_cache(file: Path | None) -> dict[str, Any] | None:
-    """The list in a cache file; None if there is no file, or it is torn or not valid."""
+    """Return the list in a cache file; None if the file is missing, torn or invalid."""
     if file is None:
         return None
     try:
--- a/stepsail/proxy/endpoint_discovery.py
+++ b/stepsail/proxy/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list: polled, or pushed by long poll, and handed to the router in order."""
+"""Receives endpoint lists by polling or long polling, and passes them to the router in order."""
 
 from __future__ import annotations
 
@@ -16,30 +16,35 @@
 from stepsail.settings import InstanceSettings
 from stepsail.trail.entries import EntryKind
 
-LONG_POLL = 5.0  # s that discovery may hold a call open until something changes
-LONG_POLL_SLACK = 2.0  # s beyond that for its response
-POLL_TIMEOUT = 2.0  # s for a list that is asked for once
-JITTER_NAME = "roster"  # of the backoff's draws; another name would change them
-CACHED_START = "kept"  # in place of the name of a server's start, in a list from before a restart
+LONG_POLL_WAIT = 5.0  # s for which discovery may delay its response until something changes
+LONG_POLL_SLACK = 2.0  # s by which a call's timeout exceeds `LONG_POLL_WAIT`
+POLL_TIMEOUT = 2.0  # s for a single poll of the complete list
+JITTER_SALT = "roster"  # another value would change the delays drawn for a given seed
+CACHED_START = "kept"  # replaces the name of each server's start in a cached list
 
-Endpoint = dict[str, Any]  # one entry of a list, as `control_messages.ENDPOINT` has it
+Endpoint = dict[str, Any]  # one entry of a list, as defined by `control_messages.ENDPOINT`
 
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """When a server started, on this instance's clock, and the list's name of that start."""
+    """Identifies one start of a server.
+
+    Attributes:
+        name: Name that the endpoint list gives to this start.
+        started_at: Time of the start, on this instance's clock.
+    """
 
     name: str
     started_at: float
 
 
 class EndpointDiscovery:
-    """Hands each list to the router, whole or as changes, in order.
+    """Passes each endpoint list to the router, complete or as changes, in order.
 
     Attributes:
-        sequence: Of the latest list; 0 before the first, and after a cached one.
-        endpoints: The list as it is now, by address.
-        has_endpoints: Set once a list with servers is known.
+        sequence: Sequence number of the latest list; 0 before the first list and after a cached one.
+        endpoints: The current list, by address.
+        has_endpoints: Set once the list has at least one entry.
     """
 
     def __init__(
@@ -62,56 +67,56 @@
         self.known_starts: dict[str, ServerStart] = {}
         self.has_endpoints = Event(loop)
         self.watch_task: Task | None = None
-        self.cache = EndpointCache(loop, settings.endpoint_cache_file, log, self._cacheable)
+        self.cache = EndpointCache(loop, settings.endpoint_cache_file, log, self._cacheable_endpoints)
 
-    # -- calls of discovery ------------------------------------------------------------------------------
+    # -- calls to discovery ------------------------------------------------------------------------------
 
     def watch(self) -> None:
-        """Receive changes from now on; nothing happens where that is so already."""
+        """Start to receive changes; has no effect while a watch is running."""
         if self.watch_task is None or self.watch_task.done:
             self.watch_task = self.loop.spawn(self._watch, name="watch endpoints")
 
     def _watch(self) -> None:
         client = JsonClient(self.loop, self.settings.discovery_address)
-        backoff = Backoff(JITTER_NAME, self.seed)
-        needs_whole_list = True
+        backoff = Backoff(JITTER_SALT, self.seed)
+        needs_complete_list = True
         try:
             while True:
-                wait = 0.0 if needs_whole_list else LONG_POLL
-                after = 0 if needs_whole_list else self.sequence
+                wait = 0.0 if needs_complete_list else LONG_POLL_WAIT
+                after = 0 if needs_complete_list else self.sequence
                 try:
-                    received = self._call(client, after, wait, wait + LONG_POLL_SLACK)
+                    endpoint_list = self._fetch_list(client, after, wait, wait + LONG_POLL_SLACK)
                 except CallError as error:
                     self._poll_failed(error)
                     if self.settings.router.must_poll_endpoints:
-                        return  # the router polls again when it decides to
+                        return  # the router decides when to poll again
                     self.loop.sleep(backoff.next_delay())
-                    needs_whole_list = True
+                    needs_complete_list = True
                     continue
                 backoff.reset()
-                needs_whole_list = False
-                self.apply_list(received, cached=False)
+                needs_complete_list = False
+                self.apply_list(endpoint_list, is_cached=False)
         finally:
             client.close()
 
     def poll(self) -> None:
-        """Ask for the whole list once."""
+        """Request the complete list once."""
         self.loop.spawn(self._poll, name="poll endpoints")
 
     def _poll(self) -> None:
         client = JsonClient(self.loop, self.settings.discovery_address)
         try:
-            self.apply_list(self._call(client, 0, 0.0, POLL_TIMEOUT), cached=False)
+            self.apply_list(self._fetch_list(client, 0, 0.0, POLL_TIMEOUT), is_cached=False)
         except CallError as error:
             self._poll_failed(error)
         finally:
             client.close()
 
-    def _call(self, client: JsonClient, after: int, wait: float, timeout: float) -> dict[str, Any]:
+    def _fetch_list(self, client: JsonClient, after: int, wait: float, timeout: float) -> dict[str, Any]:
         instance = self.settings.router.instance_index
         target = f"/roster?after={after}&umpire={instance}&wait={wait:g}"
-        received: dict[str, Any] = client.call(b"GET", target.encode(), None, ENDPOINT_LIST, timeout)
-        return received
+        endpoint_list: dict[str, Any] = client.call(b"GET", target.encode(), None, ENDPOINT_LIST, timeout)
+        return endpoint_list
 
     def _poll_failed(self, error: CallError) -> None:
         self.log.warning("endpoint_poll_failed", error=str(error))
@@ -119,30 +124,30 @@
 
     # -- events for the router ---------------------------------------------------------------------------
 
-    def apply_list(self, received: dict[str, Any], cached: bool) -> None:
-        """Hand all entries of one list to the router under one clock reading, then the list itself."""
-        is_whole = received["whole"]
-        entries = received["servers"]
-        if not is_whole and received["seq"] <= self.sequence:
+    def apply_list(self, endpoint_list: dict[str, Any], is_cached: bool) -> None:
+        """Pass all entries of a list to the router, then report the list, under one reading of the clock."""
+        is_complete = endpoint_list["whole"]
+        entries = endpoint_list["servers"]
+        if not is_complete and endpoint_list["seq"] <= self.sequence:
             return
-        if is_whole and not cached and not entries and self.endpoints:
+        if is_complete and not is_cached and not entries and self.endpoints:
             self.log.warning("endpoint_list_empty", before=len(self.endpoints))
-        self.sequence = received["seq"]
-        if is_whole:
+        self.sequence = endpoint_list["seq"]
+        if is_complete:
             self.endpoints = {}
         for entry in entries:
             address = entry["address"]
-            state_before = self.endpoints.get(address, {}).get("state")
-            if entry["state"] != ENDPOINT_READY and entry["state"] != state_before:
+            previous_state = self.endpoints.get(address, {}).get("state")
+            if entry["state"] != ENDPOINT_READY and entry["state"] != previous_state:
                 self.trail_recorder.record(EntryKind.ENDPOINT_STATE, server=address, state=entry["state"])
             self.endpoints[address] = entry
-        self.host.call_router(self._update_router, entries, is_whole, cached)
+        self.host.call_router(self._update_router, entries, is_complete, is_cached)
         if self.endpoints:
             self.has_endpoints.set()
-        if not cached:
+        if not is_cached:
             self.cache.schedule_write()
 
-    def _update_router(self, entries: list[Endpoint], is_whole: bool, cached: bool) -> None:
+    def _update_router(self, entries: list[Endpoint], is_complete: bool, is_cached: bool) -> None:
         for entry in entries:
             server = self.host.add_server(entry["address"].encode())
             if entry["zone"] not in self.settings.zones:
@@ -153,41 +158,41 @@
                 entry.get("cell", 0),
                 entry["build"],
                 ENDPOINT_STATES[entry["state"]],
-                self._started_at(entry, cached),
+                self._started_at(entry, is_cached),
                 float(entry.get("size", 1.0)),
             )
-        self.host.router.endpoint_list_received(is_whole, cached)
+        self.host.router.endpoint_list_received(is_complete, is_cached)
 
-    def _started_at(self, entry: Endpoint, cached: bool) -> float:
-        """When the server started, on this instance's clock: fixed the first time that each start is heard of.
+    def _started_at(self, entry: Endpoint, is_cached: bool) -> float:
+        """Return when the server started, on this instance's clock; computed when a start is first seen.
 
-        A list from before a restart tells no ages: its servers count as started now, so that none that is warming up
-        is taken for a warm one.
+        The ages in a cached list are out of date. Its servers count as started now, so that a server that is
+        warming up is not treated as warm.
         """
-        start = CACHED_START if cached else entry.get("start", "")
-        known = self.known_starts.get(entry["address"])
-        if known and known.name == start:
-            return known.started_at
-        age = 0.0 if cached else entry.get("age")
+        start_name = CACHED_START if is_cached else entry.get("start", "")
+        known_start = self.known_starts.get(entry["address"])
+        if known_start and known_start.name == start_name:
+            return known_start.started_at
+        age = 0.0 if is_cached else entry.get("age")
         started_at = 0.0 if age is None else self.host.clock - float(age)
-        self.known_starts[entry["address"]] = ServerStart(start, started_at)
+        self.known_starts[entry["address"]] = ServerStart(start_name, started_at)
         return started_at
 
-    # -- across a restart --------------------------------------------------------------------------------
+    # -- cache on disk -----------------------------------------------------------------------------------
 
-    def _cacheable(self) -> list[Endpoint]:
+    def _cacheable_endpoints(self) -> list[Endpoint]:
         return [entry for entry in self.endpoints.values() if entry["state"] != ENDPOINT_GONE]
 
     def write_cache(self) -> None:
-        """Write the list to disk, as this process stops."""
+        """Write the list to disk before this process stops."""
         if self.endpoints:
             self.cache.write_now()
 
     def load_cache(self) -> bool:
-        """Hand the cached list to the router; whether there is one that is whole and valid."""
-        cached = read_cache(self.settings.endpoint_cache_file)
-        if cached is None:
+        """Pass the cached list to the router; return False if there is no valid one."""
+        endpoint_list = read_cache(self.settings.endpoint_cache_file)
+        if endpoint_list is None:
             return False
-        self.apply_list(cached, cached=True)
+        self.apply_list(endpoint_list, is_cached=True)
         self.sequence = 0
         return True
--- a/stepsail/proxy/health_check.py
+++ b/stepsail/proxy/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks: a question after a server's load, on a connection of its own."""
+"""Makes health checks, which ask a server for its load, each on a connection of its own."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from stepsail.settings.model import Address
 
 HEALTH_CHECK_TIMEOUT = 0.25  # s
-MAX_HEALTH_CHECKS = 64  # at once; a further one counts as not sent
+MAX_HEALTH_CHECKS = 64  # running at once; further ones are reported as not sent
 
 
 @dataclass(slots=True)
 class HealthCheckResult:
-    """How far a health check got."""
+    """Holds the state and result of a health check, updated while it runs."""
 
     end: ExchangeEnd = ExchangeEnd.NOT_STARTED
     response: Response | None = None
@@ -27,7 +27,7 @@
 
 
 class HealthChecker:
-    """Sends the health checks that the router commands, and tells it what came of each."""
+    """Sends the health checks that the router commands, and reports their outcomes to it."""
 
     def __init__(self, loop: Loop, host: DecisionHost, protocol: UpstreamProtocol) -> None:
         self.loop = loop
@@ -36,7 +36,7 @@
         self.open_checks = 0
 
     def check_health(self, server: ServerHandle) -> None:
-        """Ask a server for its load."""
+        """Start a health check, which asks a server for its load."""
         location = self.protocol.locate(server.address)[0]
         self.loop.spawn(self._run, server, location, name="health check")
 
@@ -69,4 +69,4 @@
             if result.progress.written:
                 result.end = ExchangeEnd.TIMED_OUT
         except (OSError, Closed, InvalidMessage):
-            pass  # `end` tells how far it got
+            pass  # `result.end` is already set to the stage that failed
--- a/stepsail/proxy/json_client.py
+++ b/stepsail/proxy/json_client.py
@@ -1,4 +1,4 @@
-"""Calls with JSON to one service over one kept connection; what comes back is checked before it is used."""
+"""Calls a JSON service over one persistent connection, and validates each response by a schema."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from stepsail.loop import Closed, Loop, Stream, TimedOut
 from stepsail.settings.model import Address
 
-if TYPE_CHECKING:  # its import takes long, and only callers that check by a schema have done it
+if TYPE_CHECKING:  # slow to import; a caller that passes a schema has imported it already
     from jsonschema import Draft202012Validator
 
 MAX_RESPONSE_BYTES = 4 << 20  # an endpoint list of thousands of entries fits
@@ -26,7 +26,11 @@
 
 
 class CallError(Exception):
-    """No usable response; `may_have_run` tells whether the call may have been carried out."""
+    """Reports that a call has no usable response.
+
+    Attributes:
+        may_have_run: Whether the service may have carried out the call.
+    """
 
     def __init__(self, text: str, may_have_run: bool = True) -> None:
         super().__init__(text)
@@ -34,7 +38,7 @@
 
 
 def encode_json_request(address: Address, method: bytes, target: bytes, message: Any) -> bytes:
-    """A request with a message as JSON; without a body where there is none."""
+    """Encode a request with `message` as its JSON body; without a body if `message` is None."""
     headers = [(b"host", b"%s:%d" % (address[0].encode(), address[1]))]
     if message is None:
         return encode_request(method, target, headers)
@@ -43,12 +47,12 @@
 
 
 def describe_error(error: Exception) -> str:
-    """What an error says, or its class where it says nothing."""
+    """Return the error's message, or the name of its class if the message is empty."""
     return str(error) or type(error).__name__
 
 
 class JsonClient:
-    """One call at a time; a second one made meanwhile is an error of the caller."""
+    """Makes calls to one service, one at a time; a second call must not be made before the first ends."""
 
     def __init__(self, loop: Loop, address: Address) -> None:
         self.loop = loop
@@ -58,7 +62,11 @@
     def call(
         self, method: bytes, target: bytes, message: Any, schema: Draft202012Validator, timeout: float
     ) -> Any:
-        """The decoded response. Raises CallError; then the connection is closed too."""
+        """Make a call and return the decoded response.
+
+        Raises:
+            CallError: There was no valid response; the connection has been closed.
+        """
         deadline = self.loop.now() + timeout
         data = encode_json_request(self.address, method, target, message)
         progress = Progress()
@@ -78,11 +86,11 @@
 
     def _decode(self, response: Response, schema: Draft202012Validator) -> Any:
         if response.status != HTTPStatus.OK:
-            raise CallError(f"status {response.status}")
+            raise CallError(f"expected status 200, found {response.status}")
         decoded = msgspec.json.decode(response.body)
-        fault = next(schema.iter_errors(decoded), None)
-        if fault:
-            raise CallError(f"{fault.json_path}: {fault.message[:200]}")
+        validation_error = next(schema.iter_errors(decoded), None)
+        if validation_error:
+            raise CallError(f"{validation_error.json_path}: {validation_error.message[:200]}")
         return decoded
 
     def _connect(self, deadline: float) -> ClientConnection:
--- a/stepsail/proxy/membership.py
+++ b/stepsail/proxy/membership.py
@@ -1,6 +1,6 @@
-"""Hosts this instance's part in the membership protocol: carries its datagrams and logs what changes.
+"""Runs the membership protocol of this instance: sends and receives its datagrams, and logs changes.
 
-The port is shared with gossip about builds and with messages on policies, which go in envelopes.
+Gossip about builds and policy messages share the port; they are sent in envelopes.
 """
 
 from __future__ import annotations
@@ -35,37 +35,45 @@
 from stepsail.proxy.token_bucket import TokenBucket
 from stepsail.settings import InstanceSettings
 
-# Datagrams handled in a second, and at once; more are dropped, as if they were lost.
+# Datagrams handled per second, and in one burst. Further ones are dropped, as if they had been lost.
 PROTOCOL_RATE_LIMIT = 400.0
-ENVELOPE_RATE_LIMIT = 2000.0  # gossip and policies: each instance sends a judge of builds one a second
-MIN_POLICY_BYTES = 6
+ENVELOPE_RATE_LIMIT = 2000.0  # gossip and policies: each instance sends each judge one datagram per second
+MIN_POLICY_BYTES = 6  # kind of the receiver (1), sender's instance number (4), at least 1 byte of message
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Another present instance: when its process started (ms), and where it is reached."""
+    """Describes another present instance.
+
+    Attributes:
+        start_time: When its process started, in ms.
+        address: Where it receives datagrams.
+    """
 
     start_time: int
     address: Address
 
 
 def ignore_gossip(instance: int, start_time: int, text: bytes) -> None:
-    """Drop gossip that nobody wants."""
+    """Drop gossip; the default of `MembershipService.on_gossip`."""
 
 
 def ignore_policy_message(body: bytes) -> None:
-    """Drop a policy message where there are no policies."""
+    """Drop a policy message; the default of `MembershipService.on_policy_message`."""
 
 
 class MembershipService:
-    """Does nothing where the settings have no view. Views may be late or wrong: no rule depends on them.
+    """Does the I/O of the membership protocol and publishes its views, if the settings have a membership.
+
+    Views may be out of date or wrong, so no safety rule depends on them.
 
     Attributes:
-        protocol: The membership protocol; None without a view.
+        protocol: The membership protocol; None if the settings have no membership.
         peers: Other present instances, by number.
-        on_gossip: Called with instance, start time and text of gossip from a present instance.
+        on_gossip: Called with the instance, start time and text of gossip from a present instance.
         on_policy_message: Called with the body of each policy message.
-        dropped: Datagrams over the rate limits or malformed.
+        dropped: Number of dropped datagrams: over a rate limit, malformed, or gossip of a process that is not
+            present.
     """
 
     def __init__(
@@ -106,11 +114,11 @@
 
     @property
     def view(self) -> MembershipView | None:
-        """The present view; None where the settings have none."""
+        """The current view; None if the settings have no membership."""
         return self.protocol.view() if self.protocol else None
 
     def listen(self) -> None:
-        """Take part in the protocol for ever."""
+        """Run forever: take part in the protocol."""
         assert self.protocol
         local = self.protocol.local
         self.log.info("membership_started", number=local.instance, start=local.start_time)
@@ -120,10 +128,10 @@
             self._receive(data)
 
     def leave(self) -> None:
-        """Tell the others that this instance leaves."""
+        """Announce to the other instances that this one leaves."""
         if self.protocol:
             self.protocol.leave(self.loop.now())
-            self._carry_out()
+            self._handle_output()
 
     # Datagrams
 
@@ -141,7 +149,7 @@
         self.socket.send(seal(POLICY_MARK, self.cluster_id, body), to)
 
     def _receive(self, data: bytes) -> None:
-        """Handle one datagram within the rate limits: requests of clients come first."""
+        """Handle one datagram within the rate limits, so that datagrams do not delay clients' requests."""
         assert self.protocol
         now = self.loop.now()
         is_envelope = data.startswith((GOSSIP_MARK, POLICY_MARK))
@@ -154,7 +162,7 @@
             self._receive_gossip(data)
         else:
             self.protocol.receive(data, now)
-            self._carry_out()
+            self._handle_output()
 
     def _receive_policy_message(self, data: bytes) -> None:
         try:
@@ -163,7 +171,7 @@
             self.dropped += 1
 
     def _receive_gossip(self, data: bytes) -> None:
-        """Pass gossip on if it comes from the present process of an instance."""
+        """Pass on gossip that comes from the current process of a present instance."""
         try:
             gossip = unseal_gossip(self.cluster_id, data)
         except InvalidMessageError:
@@ -181,14 +189,14 @@
         assert self.protocol
         self.timer_at = inf
         self.protocol.tick(self.loop.now())
-        self._carry_out()
+        self._handle_output()
 
     def _timer_expired(self) -> None:
-        if self.loop.now() >= self.timer_at:  # else a later timer replaced this one
+        if self.loop.now() >= self.timer_at:  # otherwise this timer has been replaced by another
             self._tick()
 
-    def _carry_out(self) -> None:
-        """Send datagrams, log changes, publish a new view and set the timer."""
+    def _handle_output(self) -> None:
+        """Send the protocol's datagrams, log its changes, publish a new view and set the timer."""
         protocol = self.protocol
         assert protocol
         for to, data in protocol.take_datagrams():
@@ -215,7 +223,7 @@
         )
 
     def _publish(self, view: MembershipView, local_instance: int) -> None:
-        """Tell the router and the log of a new view."""
+        """Pass a new view to the router and log it."""
         self.peers = {
             member.instance: Peer(member.start_time, member.address)
             for member in view.members
@@ -235,7 +243,7 @@
             displaced=view.displaced,
         )
 
-    def page(self) -> dict[str, Any]:
+    def status_page(self) -> dict[str, Any]:
         """Return the status page."""
         if self.protocol is None:
             return {"view": None}
--- a/stepsail/proxy/membership_status.py
+++ b/stepsail/proxy/membership_status.py
@@ -1,4 +1,4 @@
-"""The status page of the membership. Its field names are what operators' tools read."""
+"""Builds the membership's status page, whose field names operators' tools read."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def membership_status(protocol: MembershipProtocol, dropped: int, now: float) -> dict[str, Any]:
-    """Return what the page shows of an instance's view; `dropped`: datagrams that its host has dropped."""
+    """Return the status page of an instance's view; `dropped`: datagrams that the instance has dropped."""
     view = protocol.view()
     return {
         "me": protocol.local.instance,
--- a/stepsail/proxy/peer_gossip.py
+++ b/stepsail/proxy/peer_gossip.py
@@ -1,4 +1,7 @@
-"""What instances tell each other of what they see: datagrams in msgpack, versioned, bounded, that may be lost."""
+"""Exchanges gossip with other instances: observed outcomes, stalled request classes, and verdicts.
+
+Messages are versioned msgpack datagrams of bounded size; they may be lost.
+"""
 
 from __future__ import annotations
 
@@ -16,35 +19,41 @@
 from stepsail.proxy.token_bucket import TokenBucket
 from stepsail.settings import InstanceSettings
 
-VERSION = 1
-OUTCOMES = "seen"  # kinds of messages, as they are sent
+VERSION = 1  # of the message format
+# Kinds of messages, as sent on the wire.
+OUTCOMES = "seen"
 VERDICT = "found"
 STALLED_CLASSES = "stuck"
-MAX_OUTCOMES = 40  # in one message, so that it stays under 1200 bytes; an address takes up to 22
-BURST = 200  # messages from one peer that are handled at once, at most
-RATE = 100.0  # messages a second from one peer that are handled, at most
-TIMESTAMP_STEP = 1e-6  # s by which messages of one clock reading are told apart
+MAX_OUTCOMES = 40  # per message, which keeps it under 1200 bytes; an address takes up to 22 bytes
+PEER_BURST = 200  # messages from one peer handled at once, at most
+PEER_RATE_LIMIT = 100.0  # messages from one peer handled per second, at most
+TIMESTAMP_STEP = 1e-6  # s between the timestamps of messages sent under the same clock reading
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class MessageTime:
-    """When a peer sent a message: its incarnation first, as a later one's clock may have begun anew."""
+    """Orders the messages of a peer by the time at which they were sent.
+
+    The peer's incarnation is compared first, because the clock of a later incarnation may have started anew.
+    """
 
     incarnation: int
     sent_at: float
 
 
-BEFORE_ALL = MessageTime(0, -inf)
+EARLIEST_TIME = MessageTime(0, -inf)
 
 
 class PeerGossip:
-    """Tells peers where the settings allow it; else does nothing.
+    """Sends gossip to peers and passes received gossip to the router, if the settings enable it.
 
-    The settings name the peers one by one, or the membership view does, over whose port messages then go.
+    The peers are those that the settings list, or the members of the membership view. In the latter case
+    messages are sent and received on the membership's port.
 
     Attributes:
-        messages_sent: Since the start; makes the timestamps unique.
-        messages_malformed: Datagrams that could not be read.
+        last_received: Time of the latest message by peer and kind.
+        messages_sent: Messages sent since the start; keeps timestamps unique.
+        messages_malformed: Datagrams that were dropped as malformed.
     """
 
     def __init__(
@@ -54,8 +63,8 @@
         self.settings = settings
         self.host = host
         self.socket = Datagrams(loop, settings.gossip_address) if settings.gossip_address else None
-        by_membership = settings.membership is not None and settings.membership.carries_gossip
-        self.membership = membership if by_membership else None
+        uses_membership = settings.membership is not None and settings.membership.carries_gossip
+        self.membership = membership if uses_membership else None
         if self.membership:
             self.membership.on_gossip = self.receive_datagram
         self.last_received: dict[tuple[int, str], MessageTime] = {}
@@ -69,17 +78,17 @@
     # -- sending -----------------------------------------------------------------------------------------
 
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[ServerHandle, int, int, int]]) -> None:
-        """Tell one peer which outcomes were seen."""
+        """Send one peer the outcomes that this instance has observed."""
         for start in range(0, len(outcomes), MAX_OUTCOMES):
-            part = outcomes[start : start + MAX_OUTCOMES]
-            self._send(OUTCOMES, [peer], [(server.address, *rest) for server, *rest in part])
+            batch = outcomes[start : start + MAX_OUTCOMES]
+            self._send(OUTCOMES, [peer], [(server.address, *rest) for server, *rest in batch])
 
     def gossip_verdict(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Tell all peers a verdict on a build."""
+        """Send all peers a verdict on a build."""
         self._send(VERDICT, sorted(self._peers()), build, stage, int(verdict))
 
     def gossip_stalled_classes(self, request_classes: Sequence[int]) -> None:
-        """Tell all peers which request classes are stalled."""
+        """Send all peers the request classes that are stalled."""
         self._send(STALLED_CLASSES, sorted(self._peers()), list(request_classes))
 
     def _send(self, kind: str, recipients: Sequence[int], *fields: Any) -> None:
@@ -90,54 +99,64 @@
         own_index = self.settings.router.instance_index
         data = msgspec.msgpack.encode([VERSION, kind, own_index, sent_at, *fields])
         peers = self._peers()
-        for number in [n for n in recipients if n in peers and n != own_index]:
+        for peer in [index for index in recipients if index in peers and index != own_index]:
             if self.membership:
-                self.membership.send_gossip(number, data)
+                self.membership.send_gossip(peer, data)
             elif self.socket:
-                self.socket.send(data, self.settings.peer_addresses[number])
+                self.socket.send(data, self.settings.peer_addresses[peer])
 
     # -- receiving ---------------------------------------------------------------------------------------
 
     def listen(self) -> None:
-        """For ever: receive messages on the port of the settings."""
+        """Run forever: receive messages on the port that the settings name."""
         while self.socket is not None:
             self.receive_datagram(None, 0, self.socket.receive()[0])
 
     def receive_datagram(self, sender: int | None, incarnation: int, data: bytes) -> None:
-        """Handle one message; `sender` and its present incarnation are known where the membership view carried it."""
+        """Handle one datagram.
+
+        Args:
+            sender: The instance that sent it, if it came over the membership's port; otherwise None.
+            incarnation: The sender's present incarnation; 0 if the sender is not known.
+            data: The encoded message.
+        """
         try:
             self.receive(msgspec.msgpack.decode(data), sender, incarnation)
-        except Exception:  # anybody may send anything: malformed messages end here
+        except Exception:  # any host can send a datagram; malformed ones are dropped
             self.messages_malformed += 1
 
     def receive(self, message: Any, sender: int | None, incarnation: int) -> None:
-        """Hand on one message; of another version, from nobody known, late, repeated or too many: it is dropped."""
-        version, kind, number, sent_at, *fields = message
-        if version != VERSION or number not in self._peers() or number == self.settings.router.instance_index:
+        """Pass one message to the router.
+
+        A message is dropped if it has another version, comes from an unknown sender or one that claims the
+        number of another instance, is late or repeated, or exceeds the rate limit.
+        """
+        version, kind, peer, sent_at, *fields = message
+        if version != VERSION or peer not in self._peers() or peer == self.settings.router.instance_index:
             return
-        if sender not in (None, number) or not isinstance(sent_at, float):
+        if sender not in (None, peer) or not isinstance(sent_at, float):
             return
-        time = MessageTime(incarnation, sent_at)
-        if not time > self.last_received.get((number, kind), BEFORE_ALL):
+        message_time = MessageTime(incarnation, sent_at)
+        if not message_time > self.last_received.get((peer, kind), EARLIEST_TIME):
             return
-        if not self._within_rate(number):
+        if not self._within_rate_limit(peer):
             return
-        self.last_received[number, kind] = time
+        self.last_received[peer, kind] = message_time
         if kind == VERDICT:
             build, stage, verdict = (int(field) for field in fields)
             self.host.call_router(
-                self.host.router.peer_verdict_received, number, build, stage, Verdict(verdict)
+                self.host.router.peer_verdict_received, peer, build, stage, Verdict(verdict)
             )
         elif kind == STALLED_CLASSES and len(fields[0]) <= len(self.settings.class_names):
             classes = tuple(int(request_class) for request_class in fields[0])
-            self.host.call_router(self.host.router.peer_stalled_classes_received, number, classes)
+            self.host.call_router(self.host.router.peer_stalled_classes_received, peer, classes)
         elif kind == OUTCOMES and len(fields[0]) <= MAX_OUTCOMES:
             for outcome in fields[0]:
                 self._receive_outcome(*outcome)
 
-    def _within_rate(self, number: int) -> bool:
+    def _within_rate_limit(self, peer: int) -> bool:
         now = self.loop.now()
-        return self.rate_limits.setdefault(number, TokenBucket(BURST, RATE, now)).try_take(now)
+        return self.rate_limits.setdefault(peer, TokenBucket(PEER_BURST, PEER_RATE_LIMIT, now)).try_take(now)
 
     def _receive_outcome(self, address: Any, build: Any, request_class: Any, outcome: Any) -> None:
         server = self.host.servers.get(bytes(address))
--- a/stepsail/proxy/policy_service.py
+++ b/stepsail/proxy/policy_service.py
@@ -1,7 +1,7 @@
-"""Hosts this instance's part in changes of policy: participant, and on a voter also consensus and coordinator.
+"""Runs the participant in policy changes, and on a voter also the consensus replica and the coordinator.
 
-Does nothing where the settings have no policy. Messages use the membership's port, but go to the addresses that the
-settings and the instances themselves name: the membership view may be wrong.
+Does nothing if the settings have no policy. Messages are sent from the membership's port, but to the
+addresses that the settings and the instances themselves give, because the membership view may be wrong.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from stepsail.proxy.policy_status import participant_status, voter_status
 from stepsail.settings import InstanceSettings
 
-# First byte of a policy message: who handles it.
+# First byte of a policy message: which component receives it.
 TO_VOTER = b"k"
 TO_PARTICIPANT = b"u"
 BETWEEN_VOTERS = b"o"
-SENDER_BYTES = 4  # the sender's instance number, after the first byte
+SENDER_BYTES = 4  # size of the sender's instance number, which follows the first byte
 
 WRITE_RETRY_INTERVAL = 1.0  # s after a failed write
 MAX_PROPOSAL_TIMEOUT = 3600  # s
@@ -38,14 +38,19 @@
 
 
 class ProposalResponse(NamedTuple):
-    """The HTTP response to a proposal: its status, and its body as JSON."""
+    """Holds the HTTP response to a proposal.
+
+    Attributes:
+        status: The status code.
+        body: The content of the body, which is sent as JSON.
+    """
 
     status: int
     body: dict[str, Any]
 
 
 class PolicyService:
-    """Carries messages and writes for the participant and, on a voter, for the Raft node and the coordinator."""
+    """Does the I/O of the participant and, on a voter, of the Raft replica and the coordinator."""
 
     def __init__(
         self,
@@ -92,32 +97,32 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this instance may accept requests, as far as policies go."""
+        """Whether this instance may accept requests, as far as policies are concerned."""
         return self.participant is None or self.participant.admitted
 
     def current_version(self) -> int | None:
-        """Version under which a request is accepted now; None under none.
+        """Return the policy version under which a request is accepted now; None if no policy is valid.
 
-        Reads the clock itself: a process that was stopped must not rely on the loop's last reading.
+        Reads the clock itself, because the loop's last reading is out of date if the process was paused.
         """
         assert self.participant
         return self.participant.version_at(self.loop.driver.now())
 
     def retry_after(self) -> float:
-        """Seconds after which a client that was rejected without a policy may try again."""
+        """Return the seconds after which a client that was rejected for lack of a policy may try again."""
         assert self.participant
         return self.participant.retry_after(self.loop.now())
 
     def start(self) -> None:
-        """Begin to ask and to vote."""
+        """Start to request admission and, on a voter, to take part in consensus."""
         if self.participant:
             self._tick()
 
     def leave(self) -> None:
-        """Tell the voters that this process accepts no more requests."""
+        """Announce to the voters that this process accepts no more requests."""
         if self.participant:
             self.participant.leave()
-            self._carry_out()
+            self._handle_output()
 
     def propose(self, body: dict[str, Any]) -> ProposalResponse:
         """Handle an operator's proposal."""
@@ -132,14 +137,14 @@
         author = str(body.get("who", ""))[:MAX_NOTE_LENGTH]
         reason = str(body.get("why", ""))[:MAX_NOTE_LENGTH]
         version = self.coordinator.propose(text, author, reason, timeout)
-        self._carry_out()
+        self._handle_output()
         if version is None:
             error = "a change is pending, or another keeper leads"
             leader = self.raft.leader if self.raft else None
             return ProposalResponse(HTTP_CONFLICT, {"error": error, "leader": leader})
         return ProposalResponse(HTTP_ACCEPTED, {"number": version})
 
-    def page(self) -> dict[str, Any]:
+    def status_page(self) -> dict[str, Any]:
         """Return the status page."""
         if self.participant is None:
             return {"policy": None}
@@ -151,7 +156,7 @@
     # Messages
 
     def _receive(self, data: bytes) -> None:
-        """Handle one datagram; one that is malformed or not from a voter is dropped."""
+        """Handle one datagram; drop it if it is malformed, or if its sender should be a voter and is not."""
         now = self.loop.now()
         receiver = data[:1]
         sender = int.from_bytes(data[1 : 1 + SENDER_BYTES], "big")
@@ -166,7 +171,7 @@
         except (policy.InvalidMessageError, consensus.InvalidMessageError):
             self.membership.dropped += 1
             return
-        self._carry_out()
+        self._handle_output()
 
     def _send(self, receiver: bytes, to: Address, body: bytes) -> None:
         sender = self.instance.to_bytes(SENDER_BYTES, "big")
@@ -179,29 +184,29 @@
         now = self.loop.now()
         if self.raft and now >= self.raft.next_timeout:
             self.raft.tick(now)
-        self._carry_out()
+        self._handle_output()
 
     def _set_timer(self, participant: PolicyParticipant, now: float) -> None:
-        due = participant.next_timeout
+        due_at = participant.next_timeout
         if self.raft:
-            due = min(due, self.raft.next_timeout, self.coordinator.next_timeout)
-        due = max(now, due)
-        if due < self.timer_at:
-            self.timer_at = due
-            self.loop.call_at(due, self._timer_expired)
+            due_at = min(due_at, self.raft.next_timeout, self.coordinator.next_timeout)
+        due_at = max(now, due_at)
+        if due_at < self.timer_at:
+            self.timer_at = due_at
+            self.loop.call_at(due_at, self._timer_expired)
 
     def _timer_expired(self) -> None:
         if self.loop.now() >= self.timer_at:
             self._tick()
 
-    # What participant, Raft node and coordinator ask for
+    # Output of the participant, the Raft replica and the coordinator
 
-    def _carry_out(self) -> None:
+    def _handle_output(self) -> None:
         participant = self.participant
         assert participant
         now = self.loop.now()
         if self.raft:
-            self._carry_out_for_voter(self.raft, now)
+            self._handle_voter_output(self.raft, now)
         participant.tick(now)
         for voter, message in participant.take_messages():
             self._send(TO_VOTER, self.voters[voter], policy.encode(message))
@@ -210,7 +215,7 @@
             self.logged_version = participant.version
         self._set_timer(participant, now)
 
-    def _carry_out_for_voter(self, raft: RaftReplica, now: float) -> None:
+    def _handle_voter_output(self, raft: RaftReplica, now: float) -> None:
         if snapshot := raft.take_snapshot():
             self.state_machine.restore(snapshot)
         for index, entry in raft.take_committed():
@@ -248,7 +253,7 @@
     # Stable storage
 
     def _write(self, raft: RaftReplica) -> None:
-        """Sync the pending writes in a thread: a slow disk delays only the messages that wait for the sync."""
+        """Sync pending writes in a thread, so that a slow disk delays only messages that depend on them."""
         self.write_running = True
         driver = self.loop.driver
         writes = self.pending_writes
@@ -258,8 +263,8 @@
             error: OSError | None = None
             try:
                 self.state_file.write(writes)
-            except OSError as raised:
-                error = raised
+            except OSError as write_error:
+                error = write_error
             driver.call_threadsafe(lambda: self._write_finished(raft, writes, error))
 
         driver.run_blocking(write)
@@ -272,4 +277,4 @@
             return
         self.write_running = False
         raft.writes_synced(writes[-1].number)
-        self._carry_out()
+        self._handle_output()
--- a/stepsail/proxy/policy_status.py
+++ b/stepsail/proxy/policy_status.py
@@ -1,4 +1,4 @@
-"""The status page of policies. Its field names are what operators' tools read."""
+"""Builds the status page of policies, whose field names operators' tools read."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from stepsail.policy import PolicyCoordinator, PolicyParticipant
 from stepsail.policy.commands import Propose
 
-SHOWN_PROPOSALS = 10  # latest finished proposals on the page
+SHOWN_PROPOSALS = 10  # number of finished proposals on the page, the latest ones
 
 
 def participant_status(participant: PolicyParticipant) -> dict[str, Any]:
-    """Return what the page shows of an instance's own policy."""
+    """Return the part of the status page about the instance's own policy."""
     return {
         "number": participant.version,
         "text": participant.text,
@@ -22,7 +22,7 @@
 
 
 def voter_status(raft: RaftReplica, coordinator: PolicyCoordinator) -> dict[str, Any]:
-    """Return what the page of a voter shows beside that: consensus and proposals."""
+    """Return the additional part of a voter's status page: consensus and proposals."""
     state = coordinator.state_machine.state
     return {
         "role": raft.role.value,
--- a/stepsail/proxy/release_control.py
+++ b/stepsail/proxy/release_control.py
@@ -1,4 +1,4 @@
-"""Release control as an instance uses it: its state and counts by long poll, votes one call each."""
+"""Calls release control: receives its state and counts by long polling, and sends it votes."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from stepsail.settings import InstanceSettings
 from stepsail.trail.entries import EntryKind
 
-LONG_POLL = 5.0  # s that release control may hold a call open until something changes
-LONG_POLL_SLACK = 2.0  # s beyond that for its response
-MAX_VOTES_IN_FLIGHT = 4  # a further vote counts as an error
-JITTER_NAME = "conveyor"  # of the backoff's draws; another name would change them
+LONG_POLL_WAIT = 5.0  # s for which release control may delay its response until something changes
+LONG_POLL_SLACK = 2.0  # s by which a call's timeout exceeds `LONG_POLL_WAIT`
+MAX_VOTES_IN_FLIGHT = 4  # further votes fail with `VoteReceipt.ERROR`
+JITTER_SALT = "conveyor"  # another value would change the delays drawn for a given seed
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseState:
-    """What release control last said of the newest build, in its own words."""
+    """Describes the release of the newest build, with `phase` as named by release control."""
 
     build: int
     stage: int
@@ -33,7 +33,13 @@
 
 
 class ReleaseControlClient:
-    """Tells the router of the release, and votes on it. `state_known`: release control has said something."""
+    """Passes the release state to the router and sends its votes.
+
+    Attributes:
+        last_state: The latest state that was received; None before the first.
+        votes_in_flight: Votes that were sent and not acknowledged yet.
+        state_known: Whether release control has reported a state.
+    """
 
     def __init__(
         self,
@@ -55,15 +61,15 @@
         self.state_known = False
 
     def watch(self) -> None:
-        """For ever: receive updates. Their sequence numbers keep a repeated one from being applied twice."""
+        """Run forever: receive updates. Sequence numbers keep a repeated update from being applied twice."""
         client = JsonClient(self.loop, self.settings.release_control_address)
-        backoff = Backoff(JITTER_NAME, self.seed)
+        backoff = Backoff(JITTER_SALT, self.seed)
         instance = self.settings.router.instance_index
         sequence = 0
         while True:
-            target = f"/news?after={sequence}&umpire={instance}&wait={LONG_POLL:g}".encode()
+            target = f"/news?after={sequence}&umpire={instance}&wait={LONG_POLL_WAIT:g}".encode()
             try:
-                update = client.call(b"GET", target, None, RELEASE_UPDATE, LONG_POLL + LONG_POLL_SLACK)
+                update = client.call(b"GET", target, None, RELEASE_UPDATE, LONG_POLL_WAIT + LONG_POLL_SLACK)
             except CallError as error:
                 self.log.warning("release_control_call_failed", error=str(error))
                 self.loop.sleep(backoff.next_delay())
@@ -114,7 +120,7 @@
         )
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Send a vote; the router is told what became of it."""
+        """Send a vote; its receipt is reported to the router."""
         self.loop.spawn(self._vote, build, stage, verdict, name="vote")
 
     def _vote(self, build: int, stage: int, verdict: Verdict) -> None:
@@ -123,11 +129,11 @@
         if self.votes_in_flight < MAX_VOTES_IN_FLIGHT:
             self.votes_in_flight += 1
             try:
-                received = self._call_votes(build, stage, verdict)
-                receipt = RECEIPTS[received["receipt"]]
-                state = received.get("state")
+                response = self._post_vote(build, stage, verdict)
+                receipt = RECEIPTS[response["receipt"]]
+                state = response.get("state")
             except CallError as error:
-                # Once a byte has left, the vote may have counted.
+                # Once any byte of the call was written, the vote may have been counted.
                 receipt = VoteReceipt.UNKNOWN if error.may_have_run else VoteReceipt.ERROR
             finally:
                 self.votes_in_flight -= 1
@@ -139,7 +145,7 @@
             self._apply_state(state)
         self.host.call_router(self.host.router.vote_acknowledged, receipt)
 
-    def _call_votes(self, build: int, stage: int, verdict: Verdict) -> dict[str, Any]:
+    def _post_vote(self, build: int, stage: int, verdict: Verdict) -> dict[str, Any]:
         vote = {
             "umpire": self.settings.router.instance_index,
             "build": build,
@@ -149,7 +155,7 @@
         client = JsonClient(self.loop, self.settings.release_control_address)
         timeout = self.settings.router.vote_timeout
         try:
-            received: dict[str, Any] = client.call(b"POST", b"/votes", vote, VOTE_RECEIPT, timeout)
-            return received
+            response: dict[str, Any] = client.call(b"POST", b"/votes", vote, VOTE_RECEIPT, timeout)
+            return response
         finally:
             client.close()
--- a/stepsail/proxy/upstream_attempt.py
+++ b/stepsail/proxy/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts: one sending of a request to a server each, from the router's command to the outcome it is told of."""
+"""Sends an attempt of a request to a server on the router's command and reports its outcome."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
         errno.EACCES,
     )
 )
-"""Errors of socket and connect that blame no server: this machine lacks descriptors, memory, ports or a route."""
-MAX_QUEUED_PARTS = 4  # of a large response, that wait for a slow client
+"""Errors of `socket` and `connect` caused by this machine: it lacks descriptors, memory, ports or a route."""
+MAX_QUEUED_PARTS = 4  # parts of a streamed response buffered for a slow client
 
 
 class StreamedBody:
-    """A response's parts on their way from an attempt's task to the client connection's."""
+    """Passes the parts of a response body from the attempt's task to the client connection's task."""
 
     def __init__(self, parts: Channel[bytes]) -> None:
         self.parts = parts
@@ -43,7 +43,12 @@
         self.done = False
 
     def read_part(self, within: float) -> bytes:
-        """The next part, empty at the end. Raises Closed where the attempt ended before the response did."""
+        """Return the next part, which is empty at the end.
+
+        Raises:
+            Closed: The attempt ended before the response was complete.
+            TimedOut: No part arrived within `within` seconds.
+        """
         self.begun = True
         part = self.parts.get(within)
         self.done = not part
@@ -52,7 +57,13 @@
 
 @dataclass(slots=True)
 class ExchangeResult:
-    """How an exchange ended. `connection`: on which the rest of a streamed response is still to be read."""
+    """Describes how an exchange with a server ended.
+
+    Attributes:
+        end: What ended it.
+        response: The response, if one was read.
+        connection: Connection from which the rest of a streamed response is still to be read; None otherwise.
+    """
 
     end: ExchangeEnd
     response: Response | None = None
@@ -60,7 +71,7 @@
 
 
 class AttemptSender:
-    """Starts attempts."""
+    """Starts attempts, each in a task of its own."""
 
     def __init__(
         self,
@@ -77,7 +88,7 @@
         self.protocol = protocol
 
     def send_attempt(self, in_flight: InFlightRequest, server: ServerHandle, deadline: float) -> Task:
-        """Start an attempt; its end is reported to the host."""
+        """Start an attempt, whose outcome is reported to the decision host, and return its task."""
         attempt = UpstreamAttempt(
             sender=self,
             in_flight=in_flight,
@@ -92,12 +103,12 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamAttempt:
-    """One attempt.
+    """Makes one attempt of a request at a server.
 
     Attributes:
-        server_version: What `UpstreamProtocol.locate` said of the server when the attempt was commanded.
-        commanded_at: The time by which the router decided on it.
-        deadline: When it ends at the latest.
+        server_version: Version that `UpstreamProtocol.locate` returned when the router issued the command.
+        commanded_at: Clock reading under which the router issued the command.
+        deadline: When the attempt ends at the latest.
     """
 
     sender: AttemptSender
@@ -110,7 +121,7 @@
     progress: Progress = field(default_factory=Progress)
 
     def run(self) -> None:
-        """Make the attempt and report its outcome."""
+        """Make the attempt and report its outcome to the decision host."""
         loop = self.sender.loop
         protocol = self.sender.protocol
         in_flight = self.in_flight
@@ -130,7 +141,7 @@
         load_report = protocol.load_report(response) if response else ()
         if response is not None:
             if protocol.is_client_error(response):
-                # No other server would take the request; the router hears of the attempt as finished.
+                # No other server would accept the request either: the router is told that it is finished.
                 in_flight.finish(FinalAnswer.FAILED)
             if outcome is AttemptOutcome.SERVED and self.number != in_flight.streaming_attempt:
                 response.headers = protocol.response_headers(response, self.upstream.address)
@@ -138,13 +149,14 @@
         self.sender.host.attempt_ended(in_flight, self.number, outcome, duration, load_report, response)
 
     def _stream_response(self, response: Response, connection: ClientConnection) -> ExchangeEnd:
-        """Pass a large response on to the client as it arrives.
+        """Forward a large response to the client as it arrives.
 
-        From its first byte on it is the final answer; should it break, the client's connection is reset. A client
-        that reads slowly holds up the server in turn.
+        The response becomes the request's final answer before its first byte is forwarded. If it breaks off
+        later, the client's connection is reset. A client that reads slowly also slows down reading from the
+        server.
         """
-        flow = response.body_stream
-        assert flow
+        body_stream = response.body_stream
+        assert body_stream
         parts: Channel[bytes] = Channel(self.sender.loop, MAX_QUEUED_PARTS)
         try:
             if response.status >= FIRST_SERVER_ERROR:
@@ -155,7 +167,7 @@
             response.body_stream = StreamedBody(parts)
             self.in_flight.streaming_attempt = self.number
             self.in_flight.finish(FinalAnswer.SERVED, response)
-            self._forward_parts(flow, parts)
+            self._forward_parts(body_stream, parts)
         except TimedOut:
             return ExchangeEnd.TIMED_OUT
         except (OSError, Closed, InvalidMessage):
@@ -166,8 +178,8 @@
             parts.close()
             self.sender.pool.release(self.upstream, connection)
 
-    def _forward_parts(self, flow: BodyStream, parts: Channel[bytes]) -> None:
-        while part := flow.read_part(self._time_left()):
+    def _forward_parts(self, body_stream: BodyStream, parts: Channel[bytes]) -> None:
+        while part := body_stream.read_part(self._time_left()):
             parts.put(part, self._time_left())
         parts.put(b"", self._time_left())
 
@@ -175,11 +187,11 @@
         return max(0.0, self.deadline - self.sender.loop.now())
 
     def _exchange(self) -> ExchangeResult:
-        """Send the request and read the response. A connection is changed for another only before its first byte."""
+        """Send the request and read the response; retry on another connection only if no byte was written."""
         while True:
             body = self.in_flight.request.body_stream
-            body_went_elsewhere = body is not None and body.begun
-            if self.in_flight.finished or self.sender.loop.now() >= self.deadline or body_went_elsewhere:
+            body_consumed = body is not None and body.begun
+            if self.in_flight.finished or self.sender.loop.now() >= self.deadline or body_consumed:
                 return ExchangeResult(ExchangeEnd.NOT_STARTED)
             try:
                 connection = self.sender.pool.acquire(self.upstream, self.deadline)
@@ -199,18 +211,22 @@
                 return result
 
     def _may_send(self, now: float) -> bool:
-        """The last look before the first byte.
+        """Check, just before the first byte is written, whether the attempt may still be sent.
+
+        While the connection was being made, the client may have disconnected, another attempt may have been
+        served, the server may have been listed as draining, or a later build may have answered a request with
+        the same key.
 
-        While the connection was made, the client may have left, another attempt have been served, the server have
-        been listed as draining, or a later build have answered the same key. This process may also have stood still
-        since the router's command: what that went by (list, exposure limit, windows, a key's time) may be over, and
-        what has been told since lies unread. So a command is good for the drain grace, or the connect timeout where
-        that is longer, and the router is asked again. This could harm where connects take longer than the grace.
+        This process may also have been paused since the router issued the command. The endpoint list, the
+        exposure limit, the windows or the key window behind that command may then have expired, and newer
+        messages may not have been read yet. A command is therefore valid for the drain grace, or for the
+        connect timeout if that is longer, and the router is asked again. The drawback: where connecting takes
+        longer than the drain grace, an attempt may be sent on a decision that is older than the grace.
         """
         host = self.sender.host
         settings = self.sender.settings
         if not self.in_flight.finished and not self.in_flight.client_connected():
-            host.client_disconnected(self.in_flight)  # its close lay unread
+            host.client_disconnected(self.in_flight)  # its close had arrived, but was not processed yet
         command_expires_at = self.commanded_at + max(settings.router.drain_grace, settings.connect_timeout)
         return (
             not self.in_flight.finished
@@ -221,7 +237,11 @@
         )
 
     def _exchange_on(self, connection: ClientConnection, now: float) -> ExchangeResult | None:
-        """The exchange on one connection; None where an idle one had died and not one byte was written."""
+        """Make the exchange on one connection.
+
+        Returns None if the connection was a reused one that had died before any byte of the request was
+        written.
+        """
         pool = self.sender.pool
         request = self.in_flight.request
         progress = self.progress
--- a/stepsail/proxy/upstream_pool.py
+++ b/stepsail/proxy/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to the servers: made, lent to attempts, kept while idle, and closed."""
+"""Pools connections to servers: makes them, lends them to attempts, keeps idle ones and closes them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,18 @@
 from stepsail.settings import InstanceSettings
 from stepsail.settings.model import Address
 
-SWEEP_INTERVAL = 1.0  # s between looks at idle connections
+SWEEP_INTERVAL = 1.0  # s between two checks of the idle connections
 
 
 class Upstream:
-    """The connections to one server: the idle ones, latest used last, and how many are open in all."""
+    """Holds the connections to one server.
+
+    Attributes:
+        address: Address by which the router identifies the server.
+        location: Host and port that connections are made to.
+        idle: Idle connections, the most recently used one last.
+        open_connections: Number of open connections, both idle and in use.
+    """
 
     def __init__(self, address: bytes, location: Address) -> None:
         self.address = address
@@ -25,7 +32,7 @@
         self.open_connections = 0
 
     def take_idle(self, last_used_before: float) -> ClientConnection | None:
-        """Take the latest used connection that has been idle since a time; None if there is none."""
+        """Remove and return the most recently used connection that has been idle since a time, or None."""
         for index in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[index]
             if connection.used_at <= last_used_before:
@@ -35,11 +42,14 @@
 
 
 class UpstreamPool:
-    """Bounds: `max_connections_per_server` to each server, `max_server_connections` to all.
+    """Holds the connections to all servers.
+
+    The settings limit their number: `max_connections_per_server` for each server, `max_server_connections` in
+    total.
 
     Attributes:
-        connects_made: New connections that were tried, since the start.
-        idle_timeout: How long a connection may be idle and still be used.
+        connects_started: Number of connections that the pool has tried to make since the start.
+        idle_timeout: How long a connection may be idle and still be reused.
     """
 
     def __init__(self, loop: Loop, settings: InstanceSettings, protocol: UpstreamProtocol) -> None:
@@ -48,26 +58,31 @@
         self.protocol = protocol
         self.upstreams: dict[bytes, Upstream] = {}
         self.open_connections = 0
-        self.connects_made = 0
+        self.connects_started = 0
         self.idle_timeout = IdleTimeout(settings.idle_connection_ttl or settings.router.idle_timeout)
 
     def upstream(self, address: bytes) -> Upstream:
-        """The entry for a server; a new one where it was not known or is found elsewhere by now."""
-        found = self.upstreams.get(address)
+        """Return the entry of a server; a new entry if the server is unknown or its location has changed."""
+        upstream = self.upstreams.get(address)
         location = self.protocol.locate(address)[0]
-        if found is not None and found.location == location:
-            return found
-        if found is not None:
-            self._close_all_idle(found)
-        found = Upstream(address, location)
-        self.upstreams[address] = found
-        return found
+        if upstream is not None and upstream.location == location:
+            return upstream
+        if upstream is not None:
+            self._close_all_idle(upstream)
+        upstream = Upstream(address, location)
+        self.upstreams[address] = upstream
+        return upstream
 
     def acquire(self, upstream: Upstream, deadline: float) -> ClientConnection | None:
-        """An idle connection or a new one; None where a bound is reached. Raises OSError, TimedOut.
+        """Return an idle connection or a new one; None if a connection limit is reached.
+
+        A connection is not reused until it has been idle for `connection_rest`. If the server sends surplus
+        bytes after a response, they arrive within that time and the connection is closed; otherwise they
+        would be taken for the response to the next request.
 
-        A connection rests for a while after each use: a response with more behind it than belongs to it shows in that
-        time, and would else be taken for the response to the next request.
+        Raises:
+            OSError: A new connection could not be made.
+            TimedOut: A new connection was not made in time.
         """
         idle_limit = self.idle_timeout.safe_idle_time(self.loop.now())
         while connection := upstream.take_idle(self.loop.now() - self.settings.connection_rest):
@@ -84,7 +99,7 @@
     def _connect(self, upstream: Upstream, deadline: float) -> ClientConnection:
         upstream.open_connections += 1
         self.open_connections += 1
-        self.connects_made += 1
+        self.connects_started += 1
         try:
             timeout = min(self.settings.connect_timeout, deadline - self.loop.now())
             stream = Stream.connect(self.loop, upstream.location, timeout)
@@ -95,7 +110,7 @@
             raise
 
     def release(self, upstream: Upstream, connection: ClientConnection) -> None:
-        """Give a connection back; it is closed where it is of no more use, or its server is found elsewhere."""
+        """Return a connection to the pool; close it if it is not usable or its server has a new location."""
         if connection.usable and self.upstreams.get(upstream.address) is upstream:
             upstream.idle.append(connection)
         else:
@@ -107,7 +122,7 @@
         connection.close()
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest, to any server; whether there was one."""
+        """Close the connection that has been idle longest, to any server; return False if there is none."""
         with_idle = [upstream for upstream in self.upstreams.values() if upstream.idle]
         if not with_idle:
             return False
@@ -120,7 +135,7 @@
             self._close(upstream, upstream.idle.popleft())
 
     def close_idle_connections(self, server: ServerHandle) -> None:
-        """Close the idle connections to a server, so that it can take those of other instances."""
+        """Close the idle connections to a server, so that it can accept connections from other instances."""
         self.close_idle(server.address)
 
     def close_idle(self, address: bytes) -> None:
@@ -130,7 +145,7 @@
             self._close_all_idle(upstream)
 
     def sweep(self) -> None:
-        """For ever: close what has been idle too long, and forget servers without connections."""
+        """Run forever: close connections idle for too long, and drop the entries of unconnected servers."""
         while True:
             self.loop.sleep(SWEEP_INTERVAL)
             now = self.loop.now()
@@ -139,5 +154,5 @@
                 idle = upstream.idle
                 while idle and (idle[0].used_at < oldest_use or idle[0].stale()):
                     self._close(upstream, idle.popleft())
-                if not upstream.open_connections:  # servers come and go under new names for ever
+                if not upstream.open_connections:  # new servers get new addresses, so entries would pile up
                     del self.upstreams[upstream.address]
--- a/stepsail/proxy/upstream_protocol.py
+++ b/stepsail/proxy/upstream_protocol.py
@@ -1,7 +1,8 @@
-"""What the connection pool needs of a server-side protocol, and the daemon's own one.
+"""Defines the interface of protocols spoken to servers, and the daemon's implementation.
 
-The pool connects, writes and reads; an `UpstreamProtocol` says what is written, what responses mean, and where a
-server is found. Another back end brings another one and leaves the pool as it is.
+The connection pool connects, writes and reads. An `UpstreamProtocol` defines what is written, what responses
+mean, and where a server is located. Another back end implements the interface anew and uses the pool
+unchanged.
 """
 
 from __future__ import annotations
@@ -17,63 +18,68 @@
 from stepsail.settings import InstanceSettings
 from stepsail.settings.model import Address
 
-LOAD_REPORT_HEADER = b"endpoint-load-metrics"  # ORCA's header; the text form is `TEXT name=value, …`
+LOAD_REPORT_HEADER = b"endpoint-load-metrics"  # ORCA's header; its text format is `TEXT name=value, …`
+# Names of load report columns in the settings, and the ORCA metrics that they stand for.
 ORCA_NAMES = {
     "q": "named_metrics.queue",
     "rif": "named_metrics.inflight",
     "busy": "cpu_utilization",
     "lat_ms": "named_metrics.latency_ms",
 }
-REWRITTEN_HEADERS = (b"host", b"request-timeout")  # each hop writes these anew
+REWRITTEN_HEADERS = (b"host", b"request-timeout")  # each hop sets its own values
 MAX_REPORT_BYTES = 2000
 HEALTH_CHECK_TARGET = b"/.stepsail/load"
 
 
 class UpstreamProtocol(Protocol):
-    """What attempts and health checks say and mean, and where servers are."""
+    """Encodes attempts and health checks, interprets their responses, and locates servers.
+
+    Attributes:
+        bounds: Size limits of each connection to a server.
+    """
 
     bounds: ConnectionLimits
 
     def locate(self, server: bytes) -> tuple[Address, object]:
-        """Where a server is, and a version that changes once it is listed as another one, draining or gone."""
+        """Return a server's location, and a version that changes when it is replaced, draining or gone."""
 
     def encode_attempt(self, request: Request, server: bytes, time_left: float) -> bytes:
-        """The request as it is sent to a server; without the rest of a body that is streamed."""
+        """Encode a request to a server; of a streamed body, only the part that is already buffered."""
 
     def classify_outcome(
         self, end: ExchangeEnd, progress: Progress, response: Response | None
     ) -> AttemptOutcome:
-        """What an attempt's end means for the router."""
+        """Return the outcome to report to the router for an attempt."""
 
     def is_client_error(self, response: Response) -> bool:
-        """Whether the server says that it cannot use the request itself, so that no other server will."""
+        """Return whether the response says that the request is invalid, so that no server would accept it."""
 
     def load_report(self, response: Response) -> tuple[float, ...]:
-        """The load report that came with a response, by the settings' columns; empty if there is none."""
+        """Return the load report in a response, in the order of the settings' columns; empty without one."""
 
     def response_headers(self, response: Response, server: bytes) -> Headers:
-        """The headers of a served response as its client gets them."""
+        """Return the headers of a served response that are sent to the client."""
 
     def encode_health_check(self, server: bytes) -> bytes:
-        """The request that asks a server for its load."""
+        """Encode the request that asks a server for its load."""
 
     def health_check_report(self, response: Response) -> tuple[float, ...]:
-        """The load report in the response to a health check."""
+        """Return the load report in the response to a health check; empty without one."""
 
 
 def split_address(server: bytes) -> Address:
-    """Host and port of a server that is known by its address."""
+    """Split a server's address, HOST:PORT, into host and port."""
     host, port = server.decode().rsplit(":", 1)
     return host, int(port)
 
 
 def orca_values(text: bytes) -> dict[str, float]:
-    """The names and values of a load report in text or JSON; empty where it is neither."""
-    form, _, rest = text[:MAX_REPORT_BYTES].decode("latin-1").partition(" ")
+    """Return the names and values of a load report in text or JSON; empty if it is malformed."""
+    format_name, _, rest = text[:MAX_REPORT_BYTES].decode("latin-1").partition(" ")
     try:
-        if form == "JSON":
+        if format_name == "JSON":
             return _flatten(msgspec.json.decode(rest, type=dict[str, float | dict[str, float]]))
-        if form == "TEXT":
+        if format_name == "TEXT":
             pairs = (part.split("=", 1) for part in rest.split(","))
             return {name.strip(): float(value) for name, value in pairs}
     except (ValueError, msgspec.MsgspecError):
@@ -92,7 +98,7 @@
 
 
 class DaemonUpstreamProtocol:
-    """The daemon's own: a server is known by its address, hop-by-hop headers are not forwarded."""
+    """Implements the daemon's protocol: servers are known by address, hop-by-hop headers not forwarded."""
 
     def __init__(self, settings: InstanceSettings) -> None:
         self.settings = settings
@@ -102,11 +108,11 @@
         self.via = b"1.1 umpire-%d" % settings.router.instance_index
 
     def locate(self, server: bytes) -> tuple[Address, object]:
-        """A server's address, which never changes its meaning."""
+        """Return a server's address; the version is None, as an address always means the same server."""
         return split_address(server), None
 
     def encode_attempt(self, request: Request, server: bytes, time_left: float) -> bytes:
-        """The request with its end-to-end headers, its new host, and the time that is left."""
+        """Encode a request with its end-to-end headers, a new `Host`, a `Via` and the remaining time."""
         headers = [pair for pair in end_to_end(request.headers) if pair[0] not in REWRITTEN_HEADERS]
         headers += [(b"host", server), (b"via", self.via), (b"request-timeout", b"%.3f" % time_left)]
         if request.body_stream:
@@ -116,18 +122,18 @@
     def classify_outcome(
         self, end: ExchangeEnd, progress: Progress, response: Response | None
     ) -> AttemptOutcome:
-        """By the bytes written, the status, and the header by which a server says that it did not run."""
+        """Derive the outcome from the bytes written, the status and the header `NOT_RUN_HEADER`."""
         if response is None:
             return attempt_outcome(end, progress.written)
         did_not_run = any(name == NOT_RUN_HEADER for name, _ in response.headers)
         return attempt_outcome(end, progress.written, response.status, did_not_run)
 
     def is_client_error(self, response: Response) -> bool:
-        """Never: such a response is the client's to read, and counts as served."""
+        """Return False: a 4xx response is passed on to the client and counts as served."""
         return False
 
     def load_report(self, response: Response) -> tuple[float, ...]:
-        """The values by the settings' columns; empty unless all are there and are numbers."""
+        """Return the values in the order of the settings' columns; empty unless all are numbers."""
         columns = self.settings.router.load_report_columns
         if not columns:
             return ()
@@ -137,13 +143,13 @@
         return tuple(values[name] for name in names) if complete else ()
 
     def response_headers(self, response: Response, server: bytes) -> Headers:
-        """The end-to-end headers, and a `Via` whose comment names the server."""
+        """Return the end-to-end headers and a `Via` whose comment names the server."""
         return [*end_to_end(response.headers), (b"via", b"%s (%s)" % (self.via, server))]
 
     def encode_health_check(self, server: bytes) -> bytes:
-        """A GET of the load page."""
+        """Encode a GET request for the server's load."""
         return encode_request(b"GET", HEALTH_CHECK_TARGET, [(b"host", server), (b"via", self.via)])
 
     def health_check_report(self, response: Response) -> tuple[float, ...]:
-        """The report in the response's header, as with any response."""
+        """Return the load report from the response's header, as for any other response."""
         return self.load_report(response)
--- a/tests/proxy/test_streaming.py
+++ b/tests/proxy/test_streaming.py
@@ -44,7 +44,7 @@
             assert answer.status == 200 and answer.body == BIG
         rig.loop.sleep(0.05)
         assert (
-            rig.application.upstream_pool.connects_made == 1
+            rig.application.upstream_pool.connects_started == 1
             and rig.application.host.in_flight == {}
             and all(
                 len(u.idle) == u.open_connections for u in rig.application.upstream_pool.upstreams.values()
