--- a/stepsail/platform/application.py
+++ b/stepsail/platform/application.py
@@ -114,7 +114,7 @@
         self.loop.driver.on_signal(signal.SIGHUP, self.reload)
         self._start_router()
         self.sweep = self.start_sweep()
-        self.loop.spawn(self.report_counters, name="report counters")
+        self.loop.spawn(self.log_counters_periodically, name="report counters")
         self._open_listener()
         self._wait_for_first_list()
         self.accept_requests(len(self.discovery.table.endpoints))
--- a/stepsail/platform/client_protocol.py
+++ b/stepsail/platform/client_protocol.py
@@ -53,7 +53,7 @@
     """
 
     half_close_is_disconnect = True
-    late_response_time = math.inf
+    late_response_grace = math.inf
     close_after_client_error = True
 
     def __init__(self, settings: InstanceSettings) -> None:
@@ -78,7 +78,7 @@
             return self.error_response(error.status, error.reason)
         return self._parse(request, route, headers)
 
-    def request_accepted(self, in_flight: InFlightRequest) -> None:
+    def request_started(self, in_flight: InFlightRequest) -> None:
         """A request was accepted: its id is open."""
         request_id = in_flight.request.header(wire_names.REQUEST_ID_HEADER) or b""
         in_flight.request_id = request_id.decode("latin-1")
@@ -105,9 +105,9 @@
         retry_after = [(b"retry-after", b"%.3f" % in_flight.retry_after)] if in_flight.retry_after > 0 else []
         return Response(503, retry_after, b"denied: trying again is harmless\n")
 
-    def failure_response(self, in_flight: InFlightRequest, late: bool) -> Response:
+    def failure_response(self, in_flight: InFlightRequest, timed_out: bool) -> Response:
         """Encode a failure: the request may have run."""
-        return Response(504 if late else 502, [], b"errored: nothing is promised\n")
+        return Response(504 if timed_out else 502, [], b"errored: nothing is promised\n")
 
     def error_response(self, status: int, text: str) -> Response:
         """Encode the answer to an invalid request."""
--- a/stepsail/proxy/__init__.py
+++ b/stepsail/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The serving process: tells the router what happens on its sockets, and carries out what the router commands."""
+"""The serving process: reports socket events to the router and carries out the router's commands."""
--- a/stepsail/proxy/admission.py
+++ b/stepsail/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Which requests are accepted before the router hears of them, and under which policy."""
+"""Decides which requests are rejected before they reach the router, and under which policy others run."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from stepsail.proxy.serving_state import ServingState
 from stepsail.settings import InstanceSettings
 
-POLICY_HEADER = b"stepsail-policy"  # the number of the policy under which a request was accepted
+POLICY_HEADER = b"stepsail-policy"  # contains the version of the policy under which a request was accepted
 
 
 class PolicyGate(Protocol):
-    """Under which policy requests are accepted, where there are policies."""
+    """Provides the policy under which requests are accepted, for instances that have policies."""
 
     def current_version(self) -> int | None:
-        """The number of the policy in force; None while none is known to be."""
+        """Return the version of the policy in force; None while none is known to be in force."""
 
     def retry_after(self) -> float:
-        """Seconds until one may be in force again."""
+        """Return the seconds until a policy may be in force again."""
 
 
-def replace_policy_header(headers: Headers, policy_number: int) -> Headers:
-    """The headers with this policy's number and no other."""
-    others = [pair for pair in headers if pair[0] != POLICY_HEADER]
-    return [*others, (POLICY_HEADER, b"%d" % policy_number)]
+def replace_policy_header(headers: Headers, policy_version: int) -> Headers:
+    """Return the headers with this policy version and no other one."""
+    other_headers = [pair for pair in headers if pair[0] != POLICY_HEADER]
+    return [*other_headers, (POLICY_HEADER, b"%d" % policy_version)]
 
 
 class RequestAdmission:
-    """Rejects what must not reach the router: nothing has run then."""
+    """Rejects requests that must not reach the router, so that nothing has run for them."""
 
     def __init__(
         self, settings: InstanceSettings, host: DecisionHost, audit: RequestAudit, state: ServingState
@@ -44,13 +44,15 @@
         self.policy_gate: PolicyGate | None = None
 
     def rejection_reason(self, in_flight: InFlightRequest, now: float) -> RejectionReason | None:
-        """Why a request is rejected; None where it is accepted, which notes its policy in its headers.
+        """Return why a request is rejected; None if it is accepted.
 
-        Clients come to an instance that has just started as long as nobody has noticed that its predecessor stopped;
-        until it is ready each request is rejected at once.
+        Also writes the version of the policy in force to the request's headers.
+
+        Clients keep connecting to an instance that has just been restarted until they notice that its
+        predecessor stopped. Until the instance is ready, it rejects each request at once.
         """
         has_policy = self._assign_policy(in_flight)
-        reason = self._instance_reason()
+        reason = self._instance_rejection_reason()
         if reason is not None:
             return reason
         if not has_policy:
@@ -58,13 +60,13 @@
         return RejectionReason.DEADLINE if in_flight.deadline <= now else None
 
     def retry_after(self, reason: RejectionReason) -> float:
-        """Seconds that a rejected client is told to wait."""
+        """Return the seconds that a rejected client is told to wait."""
         if reason is RejectionReason.NO_POLICY and self.policy_gate is not None:
             return self.policy_gate.retry_after()
         return self.settings.router.max_retry_after
 
-    def _instance_reason(self) -> RejectionReason | None:
-        """Why this instance accepts nothing now."""
+    def _instance_rejection_reason(self) -> RejectionReason | None:
+        """Return why this instance accepts no requests now; None if it does accept them."""
         if not self.state.ready:
             return RejectionReason.NOT_READY
         if not self.host.endpoint_list_usable():
@@ -76,13 +78,17 @@
         return None if self.audit.accepts_requests() else RejectionReason.TRAIL_UNAVAILABLE
 
     def _assign_policy(self, in_flight: InFlightRequest) -> bool:
-        """Whether there is a policy, where one is needed; its number goes with the request to every server."""
+        """Assign the policy in force to a request; its version is sent to every server with the request.
+
+        Returns:
+            False if a policy is required and none is in force.
+        """
         if self.policy_gate is None:
             return True
-        number = self.policy_gate.current_version()
-        in_flight.policy_number = number
-        if number is None:
+        version = self.policy_gate.current_version()
+        in_flight.policy_version = version
+        if version is None:
             return False
         request = in_flight.request
-        request.headers = replace_policy_header(request.headers, number)
+        request.headers = replace_policy_header(request.headers, version)
         return True
--- a/stepsail/proxy/application.py
+++ b/stepsail/proxy/application.py
@@ -1,4 +1,4 @@
-"""The daemon: start, ready once it can decide, serve, and stop after answering what is in flight."""
+"""The daemon: starts up, opens its listener once it can route requests, serves, and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -25,11 +25,10 @@
 from stepsail.settings import InstanceSettings
 from stepsail.trail.entries import EntryKind
 
-RELEASE_STATE_TIMEOUT = (
-    1.0  # s that a start waits for release control; without its state it serves all the same
-)
+# Seconds that startup waits for the state of release control. After that the instance serves without it.
+RELEASE_STATE_TIMEOUT = 1.0
 SEED_BYTES = 6
-NO_BUILD = -1  # of a server whose build is not known
+UNKNOWN_BUILD = -1  # stands for the build of a server whose build is not known
 
 
 def _random_seed() -> int:
@@ -37,7 +36,7 @@
 
 
 class Application(ServingProcess):
-    """One instance on one loop."""
+    """One instance of the daemon on one event loop."""
 
     def __init__(
         self,
@@ -63,14 +62,14 @@
         self.policy_service = PolicyService(loop, settings, self.membership, log, self.seed)
         if self.policy_service.enabled:
             self.listener.admission.policy_gate = self.policy_service
-            client_protocol.offer_policy = self.policy_service.propose
+            client_protocol.propose_policy = self.policy_service.propose
         client_protocol.pages[b"fleet"] = self.membership.status_page
         client_protocol.pages[b"policy"] = self.policy_service.status_page
         self.background_tasks: list[Task] = []
         self.capture = self._start_capture()
 
     def _start_capture(self) -> CaptureWriter | None:
-        """Record the router's events and commands, where the settings name a folder for that."""
+        """Start recording the router's events and commands, if the settings name a capture folder."""
         settings = self.settings
         if not settings.capture_folder:
             return None
@@ -92,45 +91,49 @@
     # -- commands of the router --------------------------------------------------------------------------
 
     def send_attempt(self, in_flight: InFlightRequest, server: ServerHandle, deadline: float) -> Task:
-        """Start an attempt, counted as exposure where its build is on trial."""
-        self.trail_recorder.attempt_sent(getattr(server, "build", NO_BUILD))
+        """Start an attempt, and count it as exposure if its server runs the canary build."""
+        self.trail_recorder.attempt_sent(getattr(server, "build", UNKNOWN_BUILD))
         return super().send_attempt(in_flight, server, deadline)
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Record a vote with its evidence and send it to release control."""
+        """Record a vote with its evidence in the audit trail, and send it to release control."""
         self.trail_recorder.record(
             EntryKind.VOTE,
             build=build,
             stage=stage,
             verdict=VERDICT_NAMES[verdict],
-            why=self.host.last_decision_note,
+            why=self.host.last_decision_text,
         )
         self.release_control.cast_vote(build, stage, verdict)
 
     def poll_endpoints(self) -> None:
-        """Ask for the endpoint list once."""
+        """Request the endpoint list once."""
         self.endpoint_discovery.poll()
 
     def watch_endpoints(self) -> None:
-        """Receive changes of the endpoint list from now on."""
+        """Start receiving changes of the endpoint list."""
         self.endpoint_discovery.watch()
 
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[ServerHandle, int, int, int]]) -> None:
-        """Tell one peer which outcomes were seen."""
+        """Send the outcomes of observed attempts to one peer."""
         self.peer_gossip.gossip_outcomes(peer, outcomes)
 
     def gossip_verdict(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Tell all peers a verdict on a build."""
+        """Send a verdict on a build to all peers."""
         self.peer_gossip.gossip_verdict(build, stage, verdict)
 
     def gossip_stalled_classes(self, request_classes: Sequence[int]) -> None:
-        """Tell all peers which request classes are stalled."""
+        """Send the stalled request classes to all peers."""
         self.peer_gossip.gossip_stalled_classes(request_classes)
 
-    # -- life --------------------------------------------------------------------------------------------
+    # -- lifecycle ---------------------------------------------------------------------------------------
 
     def run(self, signals: bool = True) -> int:
-        """Serve until stopped; the exit code tells whether all that was in flight has been answered."""
+        """Serve until a stop is requested, then shut down.
+
+        Returns:
+            The exit code of `shut_down`.
+        """
         if signals:
             self.stop_on_signals()
         self.log.info(
@@ -144,9 +147,9 @@
         self.endpoint_discovery.watch()
         self._start_background_tasks()
         self.policy_service.start()
-        opening = self.loop.spawn(self._open, name="open the listener", essential=True)
+        open_task = self.loop.spawn(self._open_listener, name="open the listener", essential=True)
         self.stop_requested.wait(why="a signal to stop")
-        opening.cancel()
+        open_task.cancel()
         return self.shut_down()
 
     def _start_background_tasks(self) -> None:
@@ -161,24 +164,27 @@
         if self.settings.membership:
             tasks.append(spawn(self.membership.listen, name="membership", essential=True))
 
-    def _open(self) -> None:
-        """Listen once there are servers to decide on; release control is waited for, but not for ever."""
-        self.endpoint_discovery.has_endpoints.wait(why="a list of servers")
+    def _open_listener(self) -> None:
+        """Open the listener once there are endpoints and the policy service is ready.
+
+        The state of release control is waited for as well, but for RELEASE_STATE_TIMEOUT at most.
+        """
+        self.endpoint_discovery.has_endpoints.wait(why="the endpoint list")
         deadline = self.loop.now() + RELEASE_STATE_TIMEOUT
         while not self.release_control.state_known and self.loop.now() < deadline:
             self.loop.sleep(POLL_INTERVAL)
-        while not self.policy_service.ready:  # under which policy requests are accepted is not known yet
+        while not self.policy_service.ready:  # the policy in force is not known yet
             self.loop.sleep(POLL_INTERVAL)
         self.listener.open()
         self.accept_requests(len(self.endpoint_discovery.endpoints))
 
     def stop_accepting(self) -> None:
-        """Take nothing new, and tell the other instances."""
+        """Stop accepting new connections, and announce to the other instances that this one leaves."""
         self.listener.begin_shutdown()
         self.membership.leave()
 
     def release_resources(self) -> None:
-        """Give up the policy lease, write the endpoint cache, and end capture and audit trail."""
+        """Release the policy lease, write the endpoint cache, and close the capture and the audit trail."""
         self.policy_service.leave()
         for task in self.background_tasks:
             task.cancel()
--- a/stepsail/proxy/client_protocol.py
+++ b/stepsail/proxy/client_protocol.py
@@ -1,7 +1,8 @@
-"""What the listener needs of a client-side protocol: what a request asks for, and how each final answer is written.
+"""The interface between the listener and a client-side protocol, which parses requests and encodes answers.
 
-The listener reads requests, waits and writes; a `ClientProtocol` says what they mean. The daemon's own one is in
-`daemon_client_protocol`; another front end brings another one and leaves the listener as it is.
+The listener reads requests, waits for their final answers and writes the responses; a `ClientProtocol`
+interprets them. The daemon's protocol is in `daemon_client_protocol`; another front end supplies its own
+protocol and uses the same listener.
 """
 
 from __future__ import annotations
@@ -15,7 +16,15 @@
 
 @dataclass(slots=True)
 class ParsedRequest:
-    """What a request asks for. `time_left`: seconds that its client still waits, from its last byte on."""
+    """A parsed request: the values that the router needs.
+
+    Attributes:
+        request_class: Index of the request class in the settings.
+        time_left: Seconds that the client still waits, counted from the request's last byte.
+        tenant: Index of the tenant in the settings.
+        key: Number that is equal for requests with equal keys; 0 for a request without a key.
+        is_retry: Whether the client has sent the request before.
+    """
 
     request_class: int
     time_left: float
@@ -25,33 +34,39 @@
 
 
 class ClientProtocol(Protocol):
-    """What requests mean and how responses are written.
+    """Parses requests and encodes responses.
 
     Attributes:
-        half_close_is_disconnect: A client that closes its side is gone; else it may still read its response.
-        late_response_time: Seconds after a client's time in which its response is still written; later the
-            connection is reset, as nobody waits for it.
-        close_after_client_error: The connection ends after a request that could not be accepted.
+        half_close_is_disconnect: Whether a client that closes its side of the connection counts as
+            disconnected; else it may still read its response.
+        late_response_grace: Seconds after the client's deadline in which a response is still written; after
+            that the connection is reset, as the client no longer waits.
+        close_after_client_error: Whether the connection is closed after a request that could not be accepted.
     """
 
     half_close_is_disconnect: bool
-    late_response_time: float
+    late_response_grace: float
     close_after_client_error: bool
 
     def parse_request(self, request: Request, ready: bool) -> ParsedRequest | Response:
-        """What is asked for, or the response to what is not to be forwarded."""
+        """Parse a request, or return the response to a request that is not forwarded."""
 
-    def request_accepted(self, in_flight: InFlightRequest) -> None:
-        """A request is in flight from now on."""
+    def request_started(self, in_flight: InFlightRequest) -> None:
+        """Handle the start of a request, before the decision whether it is accepted or rejected."""
 
     def request_ended(self, in_flight: InFlightRequest) -> None:
-        """A request is answered or its client gone; attempts may still be open."""
+        """Handle the end of a request: it was answered or its client left. Attempts may still be open."""
 
     def rejection_response(self, in_flight: InFlightRequest) -> Response:
-        """Nothing ran: sending again is harmless."""
+        """Encode a rejection: nothing has run, so the client may safely send the request again."""
+
+    def failure_response(self, in_flight: InFlightRequest, timed_out: bool) -> Response:
+        """Encode a failure, which promises nothing, as the request may have run.
 
-    def failure_response(self, in_flight: InFlightRequest, late: bool) -> Response:
-        """Nothing is promised: it may have run. `late`: its time was over first."""
+        Args:
+            in_flight: The request.
+            timed_out: Whether the request failed because its time ran out.
+        """
 
     def error_response(self, status: int, text: str) -> Response:
-        """The request itself is at fault."""
+        """Encode the response to an invalid request."""
--- a/stepsail/proxy/command_executor.py
+++ b/stepsail/proxy/command_executor.py
@@ -1,4 +1,4 @@
-"""What the decision host needs of whoever carries out the router's commands."""
+"""The interface through which the decision host has the router's commands carried out."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
     """Carries out the router's commands."""
 
     def send_attempt(self, in_flight: InFlightRequest, server: ServerHandle, deadline: float) -> Task:
-        """Start an attempt that ends by a time; the task that makes it."""
+        """Start an attempt that ends by `deadline`, and return its task."""
 
     def check_health(self, server: ServerHandle) -> None:
-        """Ask a server for its load."""
+        """Send a health check to a server, which answers with its load."""
 
     def close_idle_connections(self, server: ServerHandle) -> None:
         """Close the idle connections to a server."""
@@ -26,16 +26,16 @@
         """Send a vote to release control."""
 
     def poll_endpoints(self) -> None:
-        """Ask for the endpoint list once."""
+        """Request the endpoint list once."""
 
     def watch_endpoints(self) -> None:
-        """Receive changes of the endpoint list from now on."""
+        """Start receiving changes of the endpoint list."""
 
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[ServerHandle, int, int, int]]) -> None:
-        """Tell one peer which outcomes were seen."""
+        """Send the outcomes of observed attempts to one peer."""
 
     def gossip_verdict(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Tell all peers a verdict on a build."""
+        """Send a verdict on a build to all peers."""
 
     def gossip_stalled_classes(self, request_classes: Sequence[int]) -> None:
-        """Tell all peers which request classes are stalled."""
+        """Send the stalled request classes to all peers."""
--- a/stepsail/proxy/connection_reaper.py
+++ b/stepsail/proxy/connection_reaper.py
@@ -1,4 +1,4 @@
-"""Which client connections may be closed when room is needed or the process stops: those on which nothing is owed."""
+"""Closes client connections on which no answer is owed, to make room for others or to shut down."""
 
 from __future__ import annotations
 
@@ -8,16 +8,22 @@
 from stepsail.loop import Loop, Stream, Task
 from stepsail.proxy.counters import ConnectionClose, Counters
 
-FIRST_BYTE_GRACE = 0.05  # s that a new client has to send a byte before it may have to make room for another
-WHOLE_REQUEST_GRACE = 0.5  # s that a request may take to arrive before it may have to make room for another
-SHUTDOWN_FIRST_BYTE_GRACE = (
-    0.6  # s for a client that connected before the stop; later it only holds up the exit
-)
+FIRST_BYTE_GRACE = 0.05  # s for a new client to send its first byte before it may be closed to make room
+WHOLE_REQUEST_GRACE = 0.5  # s for a request to arrive completely before it may be rejected to make room
+# Seconds from connecting in which a client may still send its first byte during a shutdown. Waiting longer
+# would only delay the exit.
+SHUTDOWN_FIRST_BYTE_GRACE = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class PendingConnection:
-    """A connection on which no complete request is here: since when, and the task that reads it."""
+    """A connection that waits for a complete request.
+
+    Attributes:
+        waiting_since: When it began to wait.
+        connection: The connection.
+        task: The task that reads the connection.
+    """
 
     waiting_since: float
     connection: ServerConnection
@@ -25,35 +31,41 @@
 
 
 class ConnectionReaper:
-    """Knows the connections that wait for a request, and closes those of which not one byte is here.
+    """Tracks the connections that wait for a request, and closes those on which no byte of it has arrived.
 
-    With any other connection a complete request could go unanswered.
+    Closing any other connection could leave a complete request unanswered.
 
     Attributes:
-        awaiting_first: Connected and without a request yet, longest first.
-        idle: Between two requests, longest first.
+        awaiting_first_request: Connections without a request so far, the one that has waited longest first.
+        idle: Connections between two requests, the one that has waited longest first.
     """
 
     def __init__(self, loop: Loop, evictable_idle_time: float, counters: Counters) -> None:
         self.loop = loop
         self.evictable_idle_time = evictable_idle_time
         self.counters = counters
-        self.awaiting_first: dict[Stream, PendingConnection] = {}
+        self.awaiting_first_request: dict[Stream, PendingConnection] = {}
         self.idle: dict[Stream, PendingConnection] = {}
 
     def make_room(self) -> bool:
-        """Close one connection for a new client; False where none may be closed now.
+        """Close one connection to make room for a new client; return False if none may be closed now.
 
-        The fault handled: clients that connect by the hundreds and send nothing, or send one request and stay. The
-        one that has been silent longest goes, then the one idle longest. Where all have sent a part, the one that
-        takes longest gets a 503. This could harm a slow client in a crowd of new ones.
+        This guards against clients that connect by the hundreds and send nothing, or send one request and
+        stay. The connection that has waited longest for its first byte is closed, else the one that has been
+        idle longest. If all have sent part of a request, the slowest one gets a 503. That could harm a slow
+        client among many new ones.
         """
         now = self.loop.now()
-        if self._close_silent(self.awaiting_first, now - FIRST_BYTE_GRACE, ConnectionClose.EVICTED, limit=1):
+        if self._close_silent(
+            self.awaiting_first_request, now - FIRST_BYTE_GRACE, ConnectionClose.EVICTED, limit=1
+        ):
             return True
         if self._close_silent(self.idle, now - self.evictable_idle_time, ConnectionClose.EVICTED, limit=1):
             return True
-        slowest = next((c for c in self.awaiting_first.values() if c.connection.reader.begun), None)
+        slowest = next(
+            (pending for pending in self.awaiting_first_request.values() if pending.connection.reader.begun),
+            None,
+        )
         if slowest and slowest.waiting_since <= now - WHOLE_REQUEST_GRACE and slowest.task.current_wait:
             slowest.task.current_wait.throw(
                 InvalidMessage(503, "no room to wait for the rest: trying again is harmless")
@@ -61,24 +73,28 @@
         return False
 
     def close_for_shutdown(self) -> None:
-        """Close what is silent between two requests, or for some time since it connected."""
+        """Close connections that are silent between two requests, or since they connected some time ago."""
         now = self.loop.now()
         self._close_silent(self.idle, now, ConnectionClose.SHUTTING_DOWN)
         self._close_silent(
-            self.awaiting_first, now - SHUTDOWN_FIRST_BYTE_GRACE, ConnectionClose.SHUTTING_DOWN
+            self.awaiting_first_request, now - SHUTDOWN_FIRST_BYTE_GRACE, ConnectionClose.SHUTTING_DOWN
         )
 
     def _close_silent(
         self,
         connections: dict[Stream, PendingConnection],
-        waiting_since: float,
+        cutoff: float,
         reason: ConnectionClose,
         limit: int | None = None,
     ) -> int:
-        """Close connections that wait since a time or longer and of which not one byte is here; how many."""
+        """Close connections that began to wait at `cutoff` or before and on which no byte has arrived.
+
+        Returns:
+            The number of closed connections, which is at most `limit`.
+        """
         closed = 0
         for stream, pending in tuple(connections.items()):
-            if pending.waiting_since > waiting_since or closed == limit:
+            if pending.waiting_since > cutoff or closed == limit:
                 break
             if pending.connection.is_quiet():
                 self.counters.count_close(reason)
--- a/stepsail/proxy/counters.py
+++ b/stepsail/proxy/counters.py
@@ -1,6 +1,6 @@
-"""Counts of what became of requests, attempts and connections, each by its reason. No I/O.
+"""Counts of requests, attempts and closed connections, each by its outcome or reason. No I/O.
 
-Single log lines are bounded and may be dropped; these counts are complete.
+Log lines about single events are limited in number and may be dropped; these counts are complete.
 """
 
 from __future__ import annotations
@@ -11,34 +11,34 @@
 
 
 class ConnectionClose(Enum):
-    """Why a client's connection was closed by this instance."""
+    """Why this instance closed a client's connection."""
 
-    FINISHED = "the client closed its side, or sent nothing for the idle time"
-    BAD_REQUEST = "what came could not be read as a request, or not in time"
-    AFTER_RESPONSE = "the response said that the connection ends with it"
-    CLIENT_DISCONNECTED = "the client closed while its request was open"
-    DEADLINE_PASSED = "the request's time was over before it could be accepted"
-    IO_ERROR = "a read or a write on it failed"
-    EVICTED = "it was silent, and its place was needed"
-    SHUTTING_DOWN = "nothing was owed on it as this instance stopped"
+    FINISHED = "the client closed its side, or sent nothing until the idle timeout"
+    BAD_REQUEST = "the bytes received were not a valid request, or the request did not arrive in time"
+    AFTER_RESPONSE = "the response announced that the connection closes after it"
+    CLIENT_DISCONNECTED = "the client closed the connection while its request was in flight"
+    DEADLINE_PASSED = "the request's deadline had passed before the request could be accepted"
+    IO_ERROR = "a read or a write on the connection failed"
+    EVICTED = "the client was silent, and the connection was closed to make room for another"
+    SHUTTING_DOWN = "no answer was owed on the connection when this instance shut down"
 
 
 @dataclass
 class Counters:
-    """Counts since the last report. Bound: one number for each reason in use."""
+    """Counts since the last report; at most one number for each outcome or reason."""
 
     requests: Counter[str] = field(default_factory=Counter)
     attempts: Counter[str] = field(default_factory=Counter)
     closes: Counter[str] = field(default_factory=Counter)
 
     def count_close(self, reason: ConnectionClose) -> None:
-        """A client's connection was closed."""
+        """Count a close of a client's connection."""
         self.closes[reason.name.lower()] += 1
 
-    def take(self) -> dict[str, dict[str, int]]:
-        """What was counted since the last call, by kind; kinds without a count are left out."""
+    def collect_and_reset(self) -> dict[str, dict[str, int]]:
+        """Return the counts since the last call by kind, without the kinds that have none, and reset them."""
         kinds = {"requests": self.requests, "attempts": self.attempts, "closes": self.closes}
-        taken = {kind: dict(sorted(counts.items())) for kind, counts in kinds.items() if counts}
+        collected = {kind: dict(sorted(counts.items())) for kind, counts in kinds.items() if counts}
         for counts in kinds.values():
             counts.clear()
-        return taken
+        return collected
--- a/stepsail/proxy/daemon_client_protocol.py
+++ b/stepsail/proxy/daemon_client_protocol.py
@@ -1,4 +1,4 @@
-"""The daemon's own client-side protocol: classes by route, the time left in a header, answers in JSON."""
+"""The daemon's client-side protocol: request classes by route, time left in a header, answers in JSON."""
 
 from __future__ import annotations
 
@@ -18,37 +18,39 @@
 from stepsail.settings import InstanceSettings
 from stepsail.settings.tenants import TenantTable
 
-OWN_PATHS = b"/.stepsail/"  # paths that are this daemon's own and never a request class's
+# Prefix of the daemon's own pages, which are never routed to a request class.
+DAEMON_PATH_PREFIX = b"/.stepsail/"
 TIME_LEFT_HEADER = b"request-timeout"
-TIME_LEFT_FORM = re.compile(rb"\d{1,9}(\.\d{1,9})?")
+TIME_LEFT_PATTERN = re.compile(rb"\d{1,9}(\.\d{1,9})?")
 RETRY_HEADER = b"idempotency-repeat"
-JSON_CONTENT = (b"content-type", b"application/json")
+JSON_CONTENT_TYPE = (b"content-type", b"application/json")
 REJECTION_BODY = b'{"answer":"denied","again":"trying again is harmless","stay_away":%.3f}\n'
 FAILURE_BODY = b'{"answer":"errored","again":"nothing is promised: it may have run"}\n'
-LATE_RESPONSE_TIME = 0.5  # s after its time in which a client may still be there to read
-MAX_HASH_KEY_BYTES = 64  # what blake2b takes
+LATE_RESPONSE_GRACE = 0.5  # s after a request's deadline in which its client may still read a response
+MAX_HASH_KEY_BYTES = 64  # longest key that BLAKE2b accepts
 
 Page = Callable[[], Any]
-PolicyOffer = Callable[[dict[str, Any]], tuple[int, dict[str, Any]]]
+ProposePolicy = Callable[[dict[str, Any]], tuple[int, dict[str, Any]]]
 
 
 class DaemonClientProtocol:
-    """Parses requests by the routes of the settings, and serves the daemon's own pages.
+    """Parses requests by the routes in the settings, and serves the daemon's own pages.
 
     Attributes:
-        pages: Further pages under `/.stepsail/`, by name; what they return is sent as JSON.
-        offer_policy: Takes a change of policy and returns status and body; None where there are no policies.
+        pages: Further pages under `/.stepsail/`, by name; the result of each function is sent as JSON.
+        propose_policy: Proposes a policy change and returns the status and body of the response; None if the
+            instance has no policies.
     """
 
     half_close_is_disconnect = False
-    late_response_time = LATE_RESPONSE_TIME
+    late_response_grace = LATE_RESPONSE_GRACE
     close_after_client_error = False
 
     def __init__(self, settings: InstanceSettings, host: DecisionHost) -> None:
         self.settings = settings
         self.host = host
         self.pages: dict[bytes, Page] = {}
-        self.offer_policy: PolicyOffer | None = None
+        self.propose_policy: ProposePolicy | None = None
         self.tenants = TenantTable(settings.tenant_names)
         self.tenant_header = settings.tenant_header.lower().encode()
         self.key_header = settings.key_header.lower().encode()
@@ -57,16 +59,16 @@
         self.routes = [(r.method.encode(), r.path.encode(), r.class_index) for r in longest_path_first]
 
     def parse_request(self, request: Request, ready: bool) -> ParsedRequest | Response:
-        """What is asked for, or the response to what is not to be forwarded."""
-        if request.target.startswith(OWN_PATHS):
-            return self._own_page(request, ready)
+        """Parse a request, or return the response to a request that is not forwarded."""
+        if request.target.startswith(DAEMON_PATH_PREFIX):
+            return self._daemon_page(request, ready)
         request_class = self._request_class(request)
         if request_class is None:
             return self.error_response(404, "no product has this method and path")
         time_left = self.settings.router.request_classes[request_class].client_timeout
         header = request.header(TIME_LEFT_HEADER)
         if header is not None:
-            if not TIME_LEFT_FORM.fullmatch(header):
+            if not TIME_LEFT_PATTERN.fullmatch(header):
                 return self.error_response(
                     400, "request-timeout is the seconds that the client still waits, such as 2.5"
                 )
@@ -81,70 +83,75 @@
             request.header(RETRY_HEADER) is not None,
         )
 
-    def request_accepted(self, in_flight: InFlightRequest) -> None:
-        """Nothing to remember: clients do not name their requests here."""
+    def request_started(self, in_flight: InFlightRequest) -> None:
+        """Do nothing: requests have no ids in this protocol."""
 
     def request_ended(self, in_flight: InFlightRequest) -> None:
-        """Nothing to forget."""
+        """Do nothing: this protocol keeps no state of requests."""
 
     def rejection_response(self, in_flight: InFlightRequest) -> Response:
-        """A 503; `Retry-After` has whole seconds, the body the fraction."""
-        wait = b"%d" % math.ceil(in_flight.retry_after) if in_flight.retry_after > 0 else b"0"
-        return Response(503, [JSON_CONTENT, (b"retry-after", wait)], REJECTION_BODY % in_flight.retry_after)
+        """Encode a 503 response; `Retry-After` is in whole seconds, the body has the fraction as well."""
+        retry_after = b"%d" % math.ceil(in_flight.retry_after) if in_flight.retry_after > 0 else b"0"
+        return Response(
+            503, [JSON_CONTENT_TYPE, (b"retry-after", retry_after)], REJECTION_BODY % in_flight.retry_after
+        )
 
-    def failure_response(self, in_flight: InFlightRequest, late: bool) -> Response:
-        """A 504 where the time was over, else a 502."""
-        return Response(504 if late else 502, [JSON_CONTENT], FAILURE_BODY)
+    def failure_response(self, in_flight: InFlightRequest, timed_out: bool) -> Response:
+        """Encode a 504 response if the request's time ran out, else a 502 response."""
+        return Response(504 if timed_out else 502, [JSON_CONTENT_TYPE], FAILURE_BODY)
 
     def error_response(self, status: int, text: str) -> Response:
-        """What is wrong with the request, as JSON."""
+        """Encode an error message as JSON."""
         return self._json_response(status, {"error": text})
 
     def _json_response(self, status: int, body: Any) -> Response:
-        return Response(status, [JSON_CONTENT], msgspec.json.encode(body) + b"\n")
+        return Response(status, [JSON_CONTENT_TYPE], msgspec.json.encode(body) + b"\n")
 
     def _request_class(self, request: Request) -> int | None:
         for method, path, request_class in self.routes:
             if request.method == method and request.target.startswith(path):
-                following = request.target[len(path) : len(path) + 1]
-                if following in (b"", b"/", b"?") or path.endswith(b"/"):
+                next_char = request.target[len(path) : len(path) + 1]
+                if next_char in (b"", b"/", b"?") or path.endswith(b"/"):
                     return request_class
         return None
 
-    def _own_page(self, request: Request, ready: bool) -> Response:
-        name = request.target[len(OWN_PATHS) :]
+    def _daemon_page(self, request: Request, ready: bool) -> Response:
+        name = request.target[len(DAEMON_PATH_PREFIX) :]
         if request.method == b"GET":
             if name == b"ready":
                 return Response(200, [], b"ready\n") if ready else self.error_response(503, "not ready")
             if page := self.pages.get(name):
                 return self._json_response(200, page())
         elif request.method == b"POST":
-            if name == b"policy" and self.offer_policy:
-                return self._offer_policy(request, self.offer_policy)
+            if name == b"policy" and self.propose_policy:
+                return self._propose_policy(request, self.propose_policy)
             if name == b"contested":
                 return self._dispute_answer(request)
         return self.error_response(404, "nothing here")
 
-    def _offer_policy(self, request: Request, offer_policy: PolicyOffer) -> Response:
+    def _propose_policy(self, request: Request, propose_policy: ProposePolicy) -> Response:
         try:
-            offered = msgspec.json.decode(request.body, type=dict[str, Any])
+            proposal = msgspec.json.decode(request.body, type=dict[str, Any])
         except msgspec.MsgspecError as error:
             return self.error_response(400, str(error))
-        status, body = offer_policy(offered)
+        status, body = propose_policy(proposal)
         return self._json_response(status, body)
 
     def _dispute_answer(self, request: Request) -> Response:
-        """A client says that an answer was wrong; it names the server, the class and the answer's age in seconds."""
-        # Only disputes need the JSON schemas, whose import takes long.
+        """Handle a client's report that an answer was wrong.
+
+        The client names the server, the request class and the answer's age in seconds.
+        """
+        # Imported here because only disputes need the JSON schemas, which are slow to import.
         from stepsail.proxy.control_messages import DISPUTE
 
         try:
             dispute = msgspec.json.decode(request.body)
         except msgspec.DecodeError as error:
             return self.error_response(400, str(error))
-        fault = next(DISPUTE.iter_errors(dispute), None)
-        if fault:
-            return self.error_response(400, f"{fault.json_path}: {fault.message[:200]}")
+        schema_error = next(DISPUTE.iter_errors(dispute), None)
+        if schema_error:
+            return self.error_response(400, f"{schema_error.json_path}: {schema_error.message[:200]}")
         server = self.host.servers.get(dispute["server"].encode())
         if server is None or dispute["product"] not in self.settings.class_names:
             return self.error_response(404, "no such server or product")
@@ -153,6 +160,9 @@
         return Response(202, [])
 
     def _hash(self, key: bytes) -> int:
-        """A key as the router knows it: equal for equal keys, and telling nothing without the secret; never 0."""
+        """Hash a key to the number by which the router knows it, which reveals nothing without the secret.
+
+        Equal keys give equal numbers; no key gives 0, which stands for a request without a key.
+        """
         digest = hashlib.blake2b(key, digest_size=8, key=self.hash_key).digest()
         return int.from_bytes(digest, "big") or 1
--- a/stepsail/proxy/decision_host.py
+++ b/stepsail/proxy/decision_host.py
@@ -1,7 +1,8 @@
-"""The one boundary between sockets and decisions: every call of the router, and every command it issues.
+"""The boundary between sockets and decisions: all events for the router and all commands from it.
 
-Each call of the router is made by `call_router`, in order, under one reading of the clock. What the router commands
-is started here and never completed inside its call, so that it is never called while it decides.
+Each event is passed to the router by `call_router`, one after another, each with one reading of the clock. A
+command of the router is started during the router's call but never completed in it, so the router is never
+reentered.
 """
 
 from __future__ import annotations
@@ -28,20 +29,20 @@
 from stepsail.proxy.in_flight import Attempt, FinalAnswer, InFlightRequest
 from stepsail.settings import InstanceSettings
 
-MAX_PENDING_TIMERS = 100_000  # far beyond what the router sets
+MAX_PENDING_TIMERS = 100_000  # far more than the router sets
 
 
 class Logger(Protocol):
-    """Where events are logged, with their fields; a structlog logger will do."""
+    """Logs events with their fields; a structlog logger implements it."""
 
     def debug(self, event: str, **fields: Any) -> Any:
-        """Log what happens to single requests."""
+        """Log an event of a single request."""
 
     def info(self, event: str, **fields: Any) -> Any:
-        """Log a step in the life of the process or of a release."""
+        """Log a step in the lifecycle of the process or of a release."""
 
     def warning(self, event: str, **fields: Any) -> Any:
-        """Log a fault of the surroundings that the process lives with."""
+        """Log a fault outside of this process that it tolerates."""
 
     def error(self, event: str, **fields: Any) -> Any:
         """Log a fault of this program."""
@@ -60,11 +61,12 @@
 
     Attributes:
         clock: The loop's time at the latest call of the router.
-        in_flight: Accepted requests, by number, until they are answered and no attempt is open.
-        final_answers: How many requests got which final answer.
-        router_errors: Calls of the router that raised.
-        endpoint_list_usable: Whether the endpoint list is recent enough to send attempts by.
-        on_request_finished: Called once nothing of a request is open any more.
+        in_flight: Accepted requests by number, until they have their final answer and no attempt is open.
+        final_answers: Number of requests by final answer.
+        router_errors: Number of calls of the router that raised an exception.
+        last_decision_text: The text of the latest `log_decision`.
+        endpoint_list_usable: Returns whether the endpoint list is recent enough to send attempts.
+        on_request_finished: Called once a request has its final answer and no attempt is open.
     """
 
     def __init__(self, loop: Loop, settings: InstanceSettings, log: Logger, log_attempts: bool) -> None:
@@ -80,14 +82,14 @@
         self.pending_timers = 0
         self.accepted = 0
         self.router_errors = 0
-        self.last_decision_note = ""
+        self.last_decision_text = ""
         self.final_answers = dict.fromkeys(FinalAnswer, 0)
         self.counters = Counters()
         self.endpoint_list_usable: Callable[[], bool] = _list_never_expires
         self.on_request_finished: Callable[[InFlightRequest], object] = _ignore_finished_request
 
     def start(self, make_router: MakeRouter, executor: CommandExecutor, seed: int) -> None:
-        """Make the router; its commands go to `executor` from now on."""
+        """Create the router; `executor` carries out its commands."""
         self.executor = executor
         self.clock = self.loop.now()
         self.router = make_router(self.settings.router, self, seed)
@@ -95,7 +97,10 @@
     # -- events for the router ---------------------------------------------------------------------------
 
     def call_router(self, call: Callable[..., Any], *args: Any) -> Any:
-        """Call the router. A failure is logged and counted; open requests still get an answer by their deadline."""
+        """Call the router; log and count an exception that it raises.
+
+        Requests in flight get an answer by their deadline even if the router fails.
+        """
         self.clock = self.loop.now()
         try:
             return call(*args)
@@ -113,7 +118,7 @@
         )
 
     def add_server(self, address: bytes) -> ServerHandle:
-        """The router's handle for a server, made at the first call for its address."""
+        """Return the router's handle for a server, creating it at the first call for its address."""
         server = self.servers.get(address)
         if server is None:
             server = self.router.add_server(address)
@@ -121,7 +126,13 @@
         return server
 
     def accept_request(self, in_flight: InFlightRequest, parsed: ParsedRequest, age: float) -> None:
-        """Hand a request to the router; `age` is how long it had been here unread, in seconds."""
+        """Pass a request to the router.
+
+        Args:
+            in_flight: The request.
+            parsed: What the client protocol parsed from it.
+            age: Seconds for which the request lay unread.
+        """
         self.accepted += 1
         self.in_flight[in_flight.number] = in_flight
         in_flight.router_handle = self.call_router(
@@ -146,7 +157,7 @@
         load_report: Sequence[float],
         response: Response | None,
     ) -> None:
-        """Tell the router how an attempt ended. The first served attempt settles the request's final answer."""
+        """Report the end of an attempt to the router; the first served attempt decides the final answer."""
         in_flight.open_attempts -= 1
         attempt = in_flight.attempts[number]
         attempt.outcome = outcome
@@ -169,12 +180,12 @@
         self.forget_if_finished(in_flight)
 
     def attempt_still_allowed(self, in_flight: InFlightRequest, number: int) -> bool:
-        """Whether the router would still send this attempt, now that its connection is made."""
+        """Return whether the router still allows an attempt, now that its connection is established."""
         handle = in_flight.router_handle
         return handle is None or bool(self.call_router(handle.attempt_still_allowed, number))
 
     def client_disconnected(self, in_flight: InFlightRequest) -> None:
-        """The client closed its connection; nothing where the final answer is settled already."""
+        """Cancel a request whose client has disconnected, unless it has its final answer already."""
         if in_flight.finish(FinalAnswer.CANCELLED_BY_CLIENT):
             self.final_answers[FinalAnswer.CANCELLED_BY_CLIENT] += 1
             if in_flight.router_handle is not None:
@@ -189,14 +200,14 @@
 
     # -- commands of the router --------------------------------------------------------------------------
 
-    def _in_flight(self, handle: RequestHandle) -> InFlightRequest:
+    def _in_flight_request(self, handle: RequestHandle) -> InFlightRequest:
         in_flight = self.in_flight[handle.number]
         in_flight.router_handle = handle  # the router may issue commands before `accept_request` has returned
         return in_flight
 
     def send_attempt(self, handle: RequestHandle, server: ServerHandle, deadline: float) -> None:
         """Start an attempt of a request at a server."""
-        in_flight = self._in_flight(handle)
+        in_flight = self._in_flight_request(handle)
         address = server.address.decode()
         in_flight.open_attempts += 1
         task = self.executor.send_attempt(in_flight, server, deadline)
@@ -211,40 +222,40 @@
             )
 
     def cancel_attempt(self, handle: RequestHandle, number: int) -> None:
-        """Cancel an attempt, unless its response is being passed on to the client already."""
-        in_flight = self._in_flight(handle)
+        """Cancel an attempt, unless its response is already being forwarded to the client."""
+        in_flight = self._in_flight_request(handle)
         if in_flight.streaming_attempt == number:
             return
         task = in_flight.attempts[number].task
         task.cancel()
-        if not task.started:  # a task that never runs reports no end, so that is done here
+        if not task.started:  # a task that never runs does not report its end, so that is done here
             self.loop.call_later(
                 0.0,
                 lambda: self.attempt_ended(in_flight, number, AttemptOutcome.NOT_SENT, 0.0, (), None),
             )
 
     def reject(self, handle: RequestHandle, retry_after: float) -> None:
-        """Answer that nothing ran and when to come back."""
-        in_flight = self._in_flight(handle)
+        """Reject a request: nothing has run, and the client may retry after `retry_after` seconds."""
+        in_flight = self._in_flight_request(handle)
         in_flight.retry_after = retry_after
         if in_flight.finish(FinalAnswer.REJECTED):
             self.log_unserved("request_rejected", in_flight, handle.rejection_reason)
 
     def fail(self, handle: RequestHandle) -> None:
-        """Answer that nothing is promised."""
-        in_flight = self._in_flight(handle)
+        """Fail a request: it may have run, so the client is promised nothing."""
+        in_flight = self._in_flight_request(handle)
         if in_flight.finish(FinalAnswer.FAILED):
             self.log_unserved("request_failed", in_flight, handle.rejection_reason)
 
     def log_unserved(self, event: str, in_flight: InFlightRequest, reason: RejectionReason | None) -> None:
-        """Count and log a request that gets no server's response, with the reason."""
+        """Count and log a request that gets no response of a server, with the reason."""
         reason_name = reason.name.lower() if reason else "unknown"
         self.counters.requests[reason_name] += 1
         attempts = len(in_flight.attempts)
         self.log.debug(event, request=in_flight.request_id, reason=reason_name, attempts=attempts)
 
-    def call_later(self, after: float, call: Callable[[], None]) -> None:
-        """Call the router back after some seconds."""
+    def call_later(self, delay: float, call: Callable[[], None]) -> None:
+        """Make a call into the router after a delay in seconds."""
         if self.pending_timers >= MAX_PENDING_TIMERS:
             self.log.error("timer_limit_reached", limit=MAX_PENDING_TIMERS)
             return
@@ -254,15 +265,15 @@
             self.call_router(call)
 
         self.pending_timers += 1
-        self.loop.call_later(after, fire)
+        self.loop.call_later(delay, fire)
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Vote on a build."""
+        """Log a vote on a build and send it to release control."""
         self.log.info("vote_cast", build=build, stage=stage, verdict=verdict.name.lower())
         self.executor.cast_vote(build, stage, verdict)
 
     def check_health(self, server: ServerHandle) -> None:
-        """Ask a server for its load."""
+        """Send a health check to a server, which answers with its load."""
         self.executor.check_health(server)
 
     def close_idle_connections(self, server: ServerHandle) -> None:
@@ -270,26 +281,26 @@
         self.executor.close_idle_connections(server)
 
     def poll_endpoints(self) -> None:
-        """Ask for the endpoint list once."""
+        """Request the endpoint list once."""
         self.executor.poll_endpoints()
 
     def watch_endpoints(self) -> None:
-        """Receive changes of the endpoint list from now on."""
+        """Start receiving changes of the endpoint list."""
         self.executor.watch_endpoints()
 
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[ServerHandle, int, int, int]]) -> None:
-        """Tell one peer which outcomes were seen."""
+        """Send the outcomes of observed attempts to one peer."""
         self.executor.gossip_outcomes(peer, outcomes)
 
     def gossip_verdict(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Tell all peers a verdict on a build."""
+        """Send a verdict on a build to all peers."""
         self.executor.gossip_verdict(build, stage, verdict)
 
     def gossip_stalled_classes(self, request_classes: Sequence[int]) -> None:
-        """Tell all peers which request classes are stalled."""
+        """Send the stalled request classes to all peers."""
         self.executor.gossip_stalled_classes(request_classes)
 
     def log_decision(self, text: str) -> None:
-        """Log a decision with its evidence; votes carry the latest one into the audit trail."""
-        self.last_decision_note = text
+        """Log a decision with its evidence; a vote's entry in the audit trail contains the latest one."""
+        self.last_decision_text = text
         self.log.info("decision", text=text)
--- a/stepsail/proxy/in_flight.py
+++ b/stepsail/proxy/in_flight.py
@@ -1,4 +1,4 @@
-"""A request from its acceptance to its final answer, and the attempts that were made for it."""
+"""Requests in flight, from their acceptance to their final answer, and the attempts made for them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,13 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to a server; `outcome` is None while it is open."""
+    """One attempt at having a server answer a request.
+
+    Attributes:
+        server: The server's address.
+        task: The task that makes the attempt.
+        outcome: How the attempt ended; None while it is open.
+    """
 
     server: str
     task: Task
@@ -35,18 +41,18 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request that this instance has accepted and not answered: the proxy's side of the router's handle.
+    """A request in flight: the proxy's counterpart of the router's `RequestHandle`.
 
     Attributes:
-        number: Counts the requests of this process, from 0.
-        deadline: When the router must have answered; before the client's, so that there is time to write.
+        number: Sequence number of the request in this process, from 0.
+        deadline: When the router must have answered; before `client_deadline`, to leave time for writing.
         client_deadline: When the client stops waiting.
-        request_id: The client's own name of the request, or its number where it has none.
-        finished: Whether the final answer is settled; attempts may still be open.
-        streaming_attempt: The attempt whose response is passed on to the client as it arrives.
+        request_id: The client's id of the request, or `number` if it has none.
+        finished: Whether the final answer is decided; attempts may still be open.
+        streaming_attempt: Index of the attempt whose response is forwarded to the client as it arrives.
         retry_after: Seconds that a rejection tells the client to wait.
-        client_connected: Tells by a look at the connection whether the client is still there.
-        policy_number: The policy under which the request was accepted, where the instance has policies.
+        client_connected: Checks the connection and returns whether the client is still connected.
+        policy_version: Version of the policy under which the request was accepted; None without a policy.
         waiter: Wakes the task that waits for the final answer.
     """
 
@@ -64,7 +70,7 @@
     response: Response | None = None
     retry_after: float = 0.0
     client_connected: Callable[[], bool] = _assume_connected
-    policy_number: int | None = None
+    policy_version: int | None = None
     waiter: Waiter | None = None
 
     def __post_init__(self) -> None:
@@ -72,7 +78,7 @@
             self.request_id = str(self.number)
 
     def finish(self, final_answer: FinalAnswer, response: Response | None = None) -> bool:
-        """Settle the final answer. The first call decides and returns True; later ones change nothing."""
+        """Set the final answer and return True; return False and change nothing if it is set already."""
         if self.finished:
             return False
         self.finished = True
--- a/stepsail/proxy/listener.py
+++ b/stepsail/proxy/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections and serves one request after another on each."""
+"""Accepts client connections and serves the requests on each one after another."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class ClientListener:
-    """Bounds: `max_client_connections` clients, `max_in_flight` requests.
+    """Serves up to `max_client_connections` connections and up to `max_in_flight` requests at a time.
 
-    Beyond the latter a request is rejected at once, before the router hears of it, and nothing has run.
+    A request beyond the latter limit is rejected at once, before it reaches the router, so that nothing has
+    run.
     """
 
     def __init__(
@@ -35,7 +36,7 @@
         self.settings = settings
         self.host = host
         self.protocol = protocol
-        self.bounds = ConnectionLimits(
+        self.connection_limits = ConnectionLimits(
             settings.max_head_bytes,
             settings.max_body_bytes,
             settings.max_buffered_bytes,
@@ -51,7 +52,11 @@
         self.listener: Listener | None = None
 
     def open(self) -> None:
-        """Begin to accept; raises OSError where the address cannot be had."""
+        """Start accepting connections.
+
+        Raises:
+            OSError: the listening address is not available.
+        """
         make_room = self.reaper.make_room if self.settings.evictable_idle_time else None
         self.listener = Listener(
             self.loop, self.settings.listen, self.settings.max_client_connections, make_room=make_room
@@ -59,19 +64,23 @@
         self.loop.spawn(self.listener.serve, self.serve_client, "client", name="accept", essential=True)
 
     def close_after_responses(self) -> None:
-        """Go on as before, but each connection ends with its next response."""
+        """Continue to serve, but close each connection after its next response."""
         self.state.closes_after_response = True
 
     def begin_shutdown(self) -> None:
-        """Accept nothing but what the system has accepted already."""
+        """Accept only connections that the operating system has already accepted."""
         self.state.shutting_down = True
         self.close_finished_connections()
 
     def close_finished_connections(self) -> bool:
-        """On shutdown, again and again: close connections on which nothing is owed; whether none is open any more.
+        """Close the connections on which no answer is owed; called repeatedly during shutdown.
 
-        Nothing is owed where no byte of a request is here, between two requests or some time after the connection was
-        made. Whatever else is open is read and answered; each connection ends with its response.
+        No answer is owed if no byte of a request has arrived, either between two requests or some time after
+        the connection was made. On every other connection the request is read and answered, and the
+        connection is closed after the response.
+
+        Returns:
+            Whether the listener is closed and no connection is open any more.
         """
         self.reaper.close_for_shutdown()
         return self.listener is None or (self.listener.finish() and not self.listener.open)
@@ -80,39 +89,47 @@
         """Serve one client's connection until it ends."""
         try:
             self.host.counters.count_close(self._serve_requests(stream))
-        except Closed:  # ended by the reaper, and counted there
+        except Closed:  # closed by the reaper, which counted it
             raise
         except OSError:
             self.host.counters.count_close(ConnectionClose.IO_ERROR)
             raise
 
     def _serve_requests(self, stream: Stream) -> ConnectionClose:
-        """Read and answer one request after another; why the connection ends."""
-        connection = ServerConnection(self.loop, stream, self.bounds)
-        pending = self.reaper.awaiting_first
+        """Read and answer one request after another.
+
+        Returns:
+            Why the connection ends.
+        """
+        connection = ServerConnection(self.loop, stream, self.connection_limits)
+        pending_connections = self.reaper.awaiting_first_request
         while True:
-            pending[stream] = PendingConnection(self.loop.now(), connection, self.loop.current())
+            pending_connections[stream] = PendingConnection(self.loop.now(), connection, self.loop.current())
             try:
                 request = connection.next()
             except InvalidMessage as error:
                 self.writer.write_bad_request(stream, error)
                 return ConnectionClose.BAD_REQUEST
             finally:
-                pending.pop(stream, None)
+                pending_connections.pop(stream, None)
             if request is None:
                 return ConnectionClose.FINISHED
             reason = self._serve_request(connection, stream, request)
             if reason is not None:
                 return reason
-            pending = self.reaper.idle
+            pending_connections = self.reaper.idle
 
     def _serve_request(
         self, connection: ServerConnection, stream: Stream, request: Request
     ) -> ConnectionClose | None:
-        """Answer one request; why the connection ends with it, None where it goes on."""
-        accepts = self.state.ready and not self.state.shutting_down
-        parsed = self.protocol.parse_request(request, accepts)
+        """Answer one request.
+
+        Returns:
+            Why the connection ends with this request; None if it stays open.
+        """
+        is_accepting = self.state.ready and not self.state.shutting_down
+        parsed = self.protocol.parse_request(request, is_accepting)
         if isinstance(parsed, Response):
-            goes_on = self.writer.write_unforwarded(stream, request, parsed)
-            return None if goes_on else ConnectionClose.AFTER_RESPONSE
+            keep_alive = self.writer.write_unforwarded(stream, request, parsed)
+            return None if keep_alive else ConnectionClose.AFTER_RESPONSE
         return self.handler.handle(connection, stream, request, parsed)
--- a/stepsail/proxy/request_audit.py
+++ b/stepsail/proxy/request_audit.py
@@ -1,4 +1,4 @@
-"""What the listener asks of an audit trail; an instance without one uses `NoAudit`."""
+"""The interface between the listener and an audit trail; an instance without a trail uses `NoAudit`."""
 
 from __future__ import annotations
 
@@ -9,37 +9,45 @@
 
 
 class RequestAudit(Protocol):
-    """Which responses may be sent, and what is recorded of them. `accepted` counts accepted requests."""
+    """Decides which responses may be sent, and records them.
+
+    Attributes:
+        accepted: Number of accepted requests; `RequestHandler` increments it.
+    """
 
     accepted: int
 
     def accepts_requests(self) -> bool:
-        """Whether new requests may be accepted."""
+        """Return whether new requests may be accepted."""
 
     def record_response(
         self, in_flight: InFlightRequest, request_class: int, response: Response, deadline: float
     ) -> bool:
-        """Record a response before its first byte is sent; whether it may be sent. Waits until `deadline`."""
+        """Record a response before its first byte is sent, and wait for that until `deadline` at most.
+
+        Returns:
+            Whether the response may be sent.
+        """
 
     def record_sent(self, in_flight: InFlightRequest, complete: bool) -> None:
-        """Record that a response was sent, and whether completely."""
+        """Record that a response was sent, and whether it was sent completely."""
 
 
 class NoAudit:
-    """Every response may be sent and none is recorded."""
+    """Allows every response to be sent, and records none."""
 
     def __init__(self) -> None:
         self.accepted = 0
 
     def accepts_requests(self) -> bool:
-        """Always."""
+        """Return True: new requests are always accepted."""
         return True
 
     def record_response(
         self, in_flight: InFlightRequest, request_class: int, response: Response, deadline: float
     ) -> bool:
-        """Every response may be sent."""
+        """Return True: every response may be sent."""
         return True
 
     def record_sent(self, in_flight: InFlightRequest, complete: bool) -> None:
-        """Nothing is recorded."""
+        """Record nothing."""
--- a/stepsail/proxy/request_handler.py
+++ b/stepsail/proxy/request_handler.py
@@ -1,4 +1,4 @@
-"""One request of a client, from its last byte to its final answer."""
+"""Handles one client request, from its last byte to its final answer."""
 
 from __future__ import annotations
 
@@ -16,15 +16,14 @@
 from stepsail.proxy.response_writer import ResponseWriter
 from stepsail.settings import InstanceSettings
 
-READ_AHEAD_CHECK = (
-    0.05  # s between looks whether a client that has sent more ahead than is read is still there
-)
+# Seconds between checks that a client which has pipelined more bytes than are read ahead is still connected.
+DISCONNECT_POLL_INTERVAL = 0.05
 
 
 class RequestHandler:
     """Accepts or rejects a request, waits for the router's final answer and has it written.
 
-    Each accepted request gets exactly one final answer: the router's, or a failure where that does not come in time.
+    Each accepted request gets exactly one final answer: the router's, or a failure if the router's is late.
     """
 
     def __init__(
@@ -51,16 +50,21 @@
     def handle(
         self, connection: ServerConnection, stream: Stream, request: Request, parsed: ParsedRequest
     ) -> ConnectionClose | None:
-        """Answer one request; why the connection ends with it, None where it goes on."""
+        """Answer one request.
+
+        Returns:
+            Why the connection ends with this request; None if it stays open.
+        """
         now = self.loop.now()
-        # A request that lay unread while this process stood still, or in a full backlog, is as old as its bytes.
-        # Not every system tells their age; the loop's own pauses stand in for it. No client gets more time by this.
+        # A request may have lain unread while this process was paused, or in a full backlog, so its age is
+        # that of its bytes. Not every operating system reports that age; the loop's own delays are then used
+        # instead. The age is only subtracted, so it never gives a client more time.
         age = stream.seconds_since_receive() or self.loop.unread_age()
         client_deadline = now + parsed.time_left - age
-        if client_deadline + self.protocol.late_response_time <= now:
-            stream.abort()  # nobody waits any more, and nothing was started
+        if client_deadline + self.protocol.late_response_grace <= now:
+            stream.abort()  # the client has stopped waiting, and no attempt was started
             return ConnectionClose.DEADLINE_PASSED
-        in_flight = self._begin(request, client_deadline)
+        in_flight = self._create_in_flight(request, client_deadline)
         try:
             reason = self.admission.rejection_reason(in_flight, now)
             if reason is not None:
@@ -72,17 +76,21 @@
                 if not self._wait_for_answer(connection, in_flight):
                     self._log_disconnect(in_flight)
                     return ConnectionClose.CLIENT_DISCONNECTED
-            goes_on = self.writer.write_final(stream, in_flight, parsed.request_class)
-            return None if goes_on else ConnectionClose.AFTER_RESPONSE
+            keep_alive = self.writer.write_final(stream, in_flight, parsed.request_class)
+            return None if keep_alive else ConnectionClose.AFTER_RESPONSE
         finally:
             self.protocol.request_ended(in_flight)
 
-    def _begin(self, request: Request, client_deadline: float) -> InFlightRequest:
-        """The router gets a deadline before the client's, so that there is time to record and write the answer."""
+    def _create_in_flight(self, request: Request, client_deadline: float) -> InFlightRequest:
+        """Create the proxy's record of a request.
+
+        The router's deadline is earlier than the client's, so that there is time to record and write the
+        answer.
+        """
         slack = self.settings.answer_slack + self.settings.trail_commit_interval
         in_flight = InFlightRequest(self.next_number, request, client_deadline - slack, client_deadline)
         self.next_number += 1
-        self.protocol.request_accepted(in_flight)
+        self.protocol.request_started(in_flight)
         return in_flight
 
     def _reject(self, in_flight: InFlightRequest, reason: RejectionReason) -> None:
@@ -99,30 +107,31 @@
         )
 
     def _client_connected(self, connection: ServerConnection, request: Request) -> bool:
-        """Whether the client still waits, as far as its connection tells."""
+        """Return whether the client is still connected, as far as its connection shows."""
         if request.body_stream is not None:
-            return True  # whoever reads the rest of the body notices a disconnect
+            return True  # the task that reads the rest of the body notices a disconnect
         try:
             return connection.read_ahead() or not self.protocol.half_close_is_disconnect
         except OSError:
             return False
 
     def _wait_for_answer(self, connection: ServerConnection, in_flight: InFlightRequest) -> bool:
-        """Wait for the final answer; False when the client is gone.
+        """Wait for the final answer; return False if the client disconnected first.
 
-        The router owes an answer by the request's deadline. Where it does not come, by a fault in the router or by a
-        pause of this process, the request fails: whatever may have run, nothing is promised.
+        The router must answer by the request's deadline. If it does not, because of a fault in the router or
+        a pause of this process, the request fails: it may have run, so the client is promised nothing.
         """
-        give_up_at = in_flight.deadline + self.settings.answer_slack / 2  # the other half is for writing
+        # The other half of the slack is for writing the answer.
+        force_answer_at = in_flight.deadline + self.settings.answer_slack / 2
         while not in_flight.finished:
             waiter = self.loop.waiter()
             in_flight.waiter = waiter
             try:
-                self._wait_for_change(connection, in_flight, waiter, give_up_at)
+                self._wait_for_change(connection, in_flight, waiter, force_answer_at)
                 if not (in_flight.finished or self._client_connected(connection, in_flight.request)):
                     self.host.client_disconnected(in_flight)
             except TimedOut:
-                if self.loop.now() < give_up_at:
+                if self.loop.now() < force_answer_at:
                     if not self._client_connected(connection, in_flight.request):
                         self.host.client_disconnected(in_flight)
                 else:
@@ -136,20 +145,26 @@
             self.log.error("answer_forced", request=in_flight.request_id)
 
     def _wait_for_change(
-        self, connection: ServerConnection, in_flight: InFlightRequest, waiter: Waiter, give_up_at: float
+        self, connection: ServerConnection, in_flight: InFlightRequest, waiter: Waiter, force_answer_at: float
     ) -> None:
-        """Wait until the answer is there, or the client has sent something or closed. Raises TimedOut, OSError.
+        """Wait until the request has its final answer, or the client sends bytes or closes its connection.
+
+        While the body is still being read, the task that reads it notices a disconnect. If the client has
+        pipelined more bytes than are read ahead, the end of its stream lies behind unread bytes and wakes no
+        task, so this method returns after DISCONNECT_POLL_INTERVAL at the latest and the caller checks the
+        connection.
 
-        Where the body is still being read, whoever reads it notices a disconnect. Where the client has sent more
-        ahead than is read, its end arrives behind that, so the connection is looked at now and then.
+        Raises:
+            TimedOut: `force_answer_at` or the next check of the connection was reached.
+            OSError: the connection is broken.
         """
         body_is_read = in_flight.request.body_stream is None
-        armed = body_is_read and connection.wake_on_data(waiter)
-        must_poll = body_is_read and not armed and not connection.half_closed
-        remaining = give_up_at - self.loop.now()
-        timeout = min(remaining, READ_AHEAD_CHECK) if must_poll else remaining
+        wakes_on_data = body_is_read and connection.wake_on_data(waiter)
+        must_poll = body_is_read and not wakes_on_data and not connection.half_closed
+        remaining = force_answer_at - self.loop.now()
+        timeout = min(remaining, DISCONNECT_POLL_INTERVAL) if must_poll else remaining
         try:
             self.loop.park(waiter, "a final answer", max(0.0, timeout))
         finally:
-            if armed:
+            if wakes_on_data:
                 connection.stream.cancel_wake_on_read(waiter)
--- a/stepsail/proxy/response_writer.py
+++ b/stepsail/proxy/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes responses to clients, each whole and within the client's time, or resets the connection."""
+"""Writes responses to clients, each completely and within the client's time; else resets the connection."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from stepsail.proxy.serving_state import ServingState
 from stepsail.settings import InstanceSettings
 
-LATE_WRITE_TIMEOUT = 0.05  # s, at least, to write a response whose client may be gone
-DEADLINE_MARGIN = 0.1  # s before a request's deadline from which a failure counts as a time-out
-BAD_REQUEST_TIMEOUT = 1.0  # s to write the response to a bad request
-DRAIN_TIMEOUT = 0.5  # s in which bytes behind a response are read and thrown away
-MAX_DRAIN_BYTES = 4 << 20
+LATE_WRITE_TIMEOUT = 0.05  # s at least to write a response, even if its client may be gone
+DEADLINE_MARGIN = 0.1  # s before a request's deadline; a later failure is reported as a timeout
+BAD_REQUEST_TIMEOUT = 1.0  # s to write the response to an invalid request
+LINGER_TIMEOUT = 0.5  # s in which bytes that arrive after the last response are read and discarded
+MAX_LINGER_BYTES = 4 << 20  # read and discarded at most
 
 
 class ResponseWriter:
-    """One for all connections; keeps nothing between two responses."""
+    """Writes the responses on all connections; keeps no state between two responses."""
 
     def __init__(
         self,
@@ -45,17 +45,18 @@
         self.state = state
 
     def write_bad_request(self, stream: Stream, error: InvalidMessage) -> None:
-        """Say what is wrong with bytes that are no request; the connection is of no use after that."""
+        """Answer bytes that are not a valid request with an error; the connection is unusable afterwards."""
         if not stream.port.closed:
             response = self.protocol.error_response(error.status, str(error))
             stream.write(self._encode(response, None, keep_alive=False), BAD_REQUEST_TIMEOUT)
-            self._half_close(stream)
+            self._lingering_close(stream)
         self.log.debug("bad_request", status=error.status, reason=str(error)[:200])
 
     def write_unforwarded(self, stream: Stream, request: Request, response: Response) -> bool:
-        """Answer a request that is not forwarded; whether the connection goes on.
+        """Answer a request that is not forwarded, without waiting for the rest of its body.
 
-        A body that is still coming is not waited for.
+        Returns:
+            Whether the connection stays open.
         """
         is_error = response.status >= HTTPStatus.BAD_REQUEST
         keep_alive = (
@@ -66,31 +67,35 @@
         )
         stream.write(self._encode(response, request, keep_alive), self.settings.client_read_timeout)
         if request.body_stream is not None:
-            self._half_close(stream)
+            self._lingering_close(stream)
         return keep_alive
 
     def write_final(self, stream: Stream, in_flight: InFlightRequest, request_class: int) -> bool:
-        """Record and write a request's final answer; whether the connection goes on.
+        """Record and write a request's final answer.
 
-        A client whose time has just passed may still be there, and gets its answer; once nobody waits, the connection
-        is reset. No client may hold a response that the audit trail lacks: then the connection is reset as well.
+        A client whose deadline has just passed may still be connected and gets its answer; after the
+        protocol's `late_response_grace` the connection is reset. It is also reset if the audit trail could
+        not record the response, because no client may receive a response that the trail lacks.
+
+        Returns:
+            Whether the connection stays open.
         """
         now = self.loop.now()
         assert in_flight.final_answer is not None
         self.host.final_answers[in_flight.final_answer] += 1
-        write_by = in_flight.client_deadline + self.protocol.late_response_time
-        if now >= write_by:
+        write_deadline = in_flight.client_deadline + self.protocol.late_response_grace
+        if now >= write_deadline:
             self._reset_too_late(stream, in_flight, now)
             return False
         response = self._final_response(in_flight, now)
-        record_by = in_flight.client_deadline if now < in_flight.client_deadline else write_by
-        if not self.audit.record_response(in_flight, request_class, response, record_by):
+        record_deadline = in_flight.client_deadline if now < in_flight.client_deadline else write_deadline
+        if not self.audit.record_response(in_flight, request_class, response, record_deadline):
             stream.abort()
             self.log.warning("response_not_recorded", request=in_flight.request_id)
             self.host.forget_if_finished(in_flight)
             return False
         now = self.loop.now()
-        if now >= write_by:
+        if now >= write_deadline:
             self._reset_too_late(stream, in_flight, now)
             return False
         write_timeout = max(LATE_WRITE_TIMEOUT, in_flight.client_deadline - now)
@@ -98,8 +103,8 @@
 
     def _reset_too_late(self, stream: Stream, in_flight: InFlightRequest, now: float) -> None:
         stream.abort()
-        late = round(now - in_flight.client_deadline, 3)
-        self.log.warning("response_too_late", request=in_flight.request_id, late=late)
+        lateness = round(now - in_flight.client_deadline, 3)
+        self.log.warning("response_too_late", request=in_flight.request_id, late=lateness)
         self.host.forget_if_finished(in_flight)
 
     def _final_response(self, in_flight: InFlightRequest, now: float) -> Response:
@@ -110,14 +115,18 @@
             else:
                 timed_out = now >= in_flight.deadline - DEADLINE_MARGIN
                 response = self.protocol.failure_response(in_flight, timed_out)
-        if in_flight.policy_number is not None:
-            response.headers = replace_policy_header(response.headers, in_flight.policy_number)
+        if in_flight.policy_version is not None:
+            response.headers = replace_policy_header(response.headers, in_flight.policy_version)
         return response
 
     def _send(
         self, stream: Stream, in_flight: InFlightRequest, response: Response, write_timeout: float
     ) -> bool:
-        """Write a response that has been recorded; whether the connection goes on."""
+        """Write a response that has been recorded.
+
+        Returns:
+            Whether the connection stays open.
+        """
         request = in_flight.request
         body_is_read = request.body_stream is None or request.body_stream.done
         keep_alive = request.keep_alive and not self.state.ends_connections and body_is_read
@@ -126,7 +135,7 @@
             if response.body_stream:
                 has_framing = response.length is not None or request.accepts_chunks
                 keep_alive = keep_alive and has_framing
-                self._stream(stream, in_flight, response, keep_alive)
+                self._write_streamed(stream, in_flight, response, keep_alive)
             else:
                 stream.write(self._encode(response, request, keep_alive), write_timeout)
             complete = True
@@ -135,19 +144,20 @@
             self.log.warning("client_read_too_slowly", request=in_flight.request_id)
             return False
         except Closed:
-            stream.abort()  # the server's response broke off: a reset tells the client that it is not whole
+            # The server's response was cut off. A reset tells the client that it is incomplete.
+            stream.abort()
             return False
         finally:
             self.audit.record_sent(in_flight, complete)
             self.host.forget_if_finished(in_flight)
         if not keep_alive and (request.body_stream is not None or stream.readable()):
-            self._half_close(stream)
+            self._lingering_close(stream)
         return keep_alive
 
-    def _stream(
+    def _write_streamed(
         self, stream: Stream, in_flight: InFlightRequest, response: Response, keep_alive: bool
     ) -> None:
-        """Pass a large response on as it arrives."""
+        """Forward a large response to the client as it arrives from the server."""
 
         def time_left() -> float:
             return max(0.0, in_flight.client_deadline - self.loop.now())
@@ -167,10 +177,13 @@
         head_only = request is not None and request.method == b"HEAD"
         return encode_response(response.status, response.headers, response.body, keep_alive, head_only)
 
-    def _half_close(self, stream: Stream) -> None:
-        """End our side and read on for a moment: a close over unread bytes resets the client before it reads."""
+    def _lingering_close(self, stream: Stream) -> None:
+        """Send the end of the stream, then read and discard what the client still sends, within bounds.
+
+        Closing a connection with unread bytes resets it, maybe before the client has read the response.
+        """
         stream.half_close()
-        with contextlib.suppress(OSError), self.loop.timeout(DRAIN_TIMEOUT):
-            remaining = MAX_DRAIN_BYTES
+        with contextlib.suppress(OSError), self.loop.timeout(LINGER_TIMEOUT):
+            remaining = MAX_LINGER_BYTES
             while remaining > 0 and (data := stream.read()):
                 remaining -= len(data)
--- a/stepsail/proxy/serving_process.py
+++ b/stepsail/proxy/serving_process.py
@@ -1,4 +1,4 @@
-"""The life that all serving processes share: commands carried out, signals, readiness, and a graceful shutdown."""
+"""The base class of serving processes: the router's commands, signals, readiness and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
 from stepsail.proxy.upstream_protocol import UpstreamProtocol
 from stepsail.settings import InstanceSettings
 
-POLL_INTERVAL = 0.02  # s between looks at a condition that no event tells of
-COUNTERS_INTERVAL = 5.0  # s between two lines with the counts of requests, attempts and closes
-FINAL_ANSWER_TIME = 0.1  # s before the end of the shutdown in which what is in flight gets its final answer
+POLL_INTERVAL = 0.02  # s between checks of a condition that no event signals
+COUNTERS_INTERVAL = 5.0  # s between two log lines with the counts of requests, attempts and closes
+# Seconds before the end of the shutdown timeout at which requests still in flight are failed.
+FINAL_ANSWER_MARGIN = 0.1
 EXIT_ALL_ANSWERED = 0
-EXIT_UNANSWERED = 3  # the time for shutting down was over before
+EXIT_UNANSWERED = 3  # the shutdown timeout expired before every request was answered
 
 
 class ServingProcess(ABC):
-    """Carries out the router's commands with one listener and one pool.
+    """Carries out the router's commands with one listener and one pool of connections to servers.
 
-    Release control, endpoint discovery and peers are each subclass's own. A subclass makes its protocols and then
-    calls `connect_protocols`.
+    Each subclass has its own release control, endpoint discovery and peer messages. A subclass creates its
+    protocols and then calls `connect_protocols`.
     """
 
     upstream_pool: UpstreamPool
@@ -57,7 +58,7 @@
     def connect_protocols(
         self, client_protocol: ClientProtocol, upstream_protocol: UpstreamProtocol, audit: RequestAudit
     ) -> None:
-        """Make the parts that speak to clients and servers."""
+        """Create the components that communicate with clients and servers."""
         self.upstream_pool = UpstreamPool(self.loop, self.settings, upstream_protocol)
         self.attempt_sender = AttemptSender(
             self.loop, self.settings, self.host, self.upstream_pool, upstream_protocol
@@ -68,11 +69,11 @@
     # -- commands of the router --------------------------------------------------------------------------
 
     def send_attempt(self, in_flight: InFlightRequest, server: ServerHandle, deadline: float) -> Task:
-        """Start an attempt that ends by a time."""
+        """Start an attempt that ends by `deadline`."""
         return self.attempt_sender.send_attempt(in_flight, server, deadline)
 
     def check_health(self, server: ServerHandle) -> None:
-        """Ask a server for its load."""
+        """Send a health check to a server, which answers with its load."""
         self.health_checker.check_health(server)
 
     def close_idle_connections(self, server: ServerHandle) -> None:
@@ -85,41 +86,41 @@
 
     @abstractmethod
     def poll_endpoints(self) -> None:
-        """Ask for the endpoint list once."""
+        """Request the endpoint list once."""
 
     @abstractmethod
     def watch_endpoints(self) -> None:
-        """Receive changes of the endpoint list from now on."""
+        """Start receiving changes of the endpoint list."""
 
     @abstractmethod
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[ServerHandle, int, int, int]]) -> None:
-        """Tell one peer which outcomes were seen."""
+        """Send the outcomes of observed attempts to one peer."""
 
     @abstractmethod
     def gossip_verdict(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Tell all peers a verdict on a build."""
+        """Send a verdict on a build to all peers."""
 
     @abstractmethod
     def gossip_stalled_classes(self, request_classes: Sequence[int]) -> None:
-        """Tell all peers which request classes are stalled."""
+        """Send the stalled request classes to all peers."""
 
-    # -- start -------------------------------------------------------------------------------------------
+    # -- startup -----------------------------------------------------------------------------------------
 
     def stop(self) -> None:
-        """Shut down; a second call changes nothing."""
+        """Request a shutdown; a second call has no effect."""
         self.stop_requested.set()
 
     def stop_on_signals(self) -> None:
-        """Shut down on SIGTERM and SIGINT."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.driver.on_signal(number, self.stop)
+        """Request a shutdown on SIGTERM and SIGINT."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.driver.on_signal(signal_number, self.stop)
 
     def start_sweep(self) -> Task:
-        """Begin to close connections to servers that have been idle too long."""
+        """Start the task that closes connections to servers that have been idle too long."""
         return self.loop.spawn(self.upstream_pool.sweep, name="sweep idle connections", essential=True)
 
     def accept_requests(self, servers: int) -> None:
-        """From now on requests reach the router."""
+        """Start passing requests to the router; until then each one is rejected."""
         self.listener.state.ready = True
         self.log.info("ready", listen="{}:{}".format(*self.settings.listen), servers=servers)
 
@@ -127,14 +128,14 @@
 
     @abstractmethod
     def stop_accepting(self) -> None:
-        """Take nothing new, in the subclass's own way; what is in flight goes on."""
+        """Stop accepting new connections, in the subclass's own way; requests in flight continue."""
 
     @abstractmethod
     def release_resources(self) -> None:
-        """End what is still running, after the last answer."""
+        """Stop what is still running after the last answer."""
 
     def shut_down(self) -> int:
-        """Answer what is in flight and end; the exit code."""
+        """Answer the requests in flight, release the resources and return the exit code."""
         stop_requested_at = self.loop.now()
         self.log.info("shutting_down", in_flight=len(self.host.in_flight))
         self.stop_accepting()
@@ -144,13 +145,16 @@
         return EXIT_ALL_ANSWERED if in_time else EXIT_UNANSWERED
 
     def finish_in_flight(self, stop_requested_at: float) -> bool:
-        """Wait until all requests are answered and every client is gone; whether that was within the shutdown's time.
+        """Wait until all requests are answered and all client connections are closed.
 
-        What still waits at its end gets its final answer before that: whatever may have run, nothing is promised, but
-        nobody is left without an answer.
+        FINAL_ANSWER_MARGIN before the shutdown timeout expires, each request that is still in flight fails,
+        so that no client is left without an answer. A failure promises nothing, as the request may have run.
+
+        Returns:
+            Whether all was done by FINAL_ANSWER_MARGIN before the timeout, so that no request had to fail.
         """
         deadline = stop_requested_at + self.settings.shutdown_timeout
-        if self._wait_until_finished(deadline - FINAL_ANSWER_TIME):
+        if self._wait_until_finished(deadline - FINAL_ANSWER_MARGIN):
             return True
         self.listener.state.rejects_all = True
         unanswered = [
@@ -162,31 +166,33 @@
         return False
 
     def _wait_until_finished(self, deadline: float) -> bool:
-        """Whether nothing is owed to any client any more, at the latest at a time."""
-        while not self.listener.close_finished_connections() or self._unanswered():
+        """Wait until no client is owed an answer; return False if one still is at the deadline."""
+        while not self.listener.close_finished_connections() or self._unanswered_count():
             if self.loop.now() >= deadline:
                 return False
             self.loop.sleep(POLL_INTERVAL)
         return True
 
-    def _unanswered(self) -> int:
+    def _unanswered_count(self) -> int:
         return sum(not in_flight.finished for in_flight in self.host.in_flight.values())
 
     # -- log ---------------------------------------------------------------------------------------------
 
-    def report_counters(self) -> NoReturn:
-        """For ever: log the counts since the last line."""
+    def log_counters_periodically(self) -> NoReturn:
+        """Log the counts at a fixed interval; never returns."""
         while True:
             self.loop.sleep(COUNTERS_INTERVAL)
             self.log_counters()
 
     def log_counters(self) -> None:
-        """Log the counts since the last line, if there are any."""
-        if counted := self.host.counters.take():
-            self.log.info("counters", **counted)
+        """Log the counts since the last such log line, if there are any."""
+        if counts := self.host.counters.collect_and_reset():
+            self.log.info("counters", **counts)
 
     def log_shutdown(self) -> None:
-        """Log the last counts, and how many requests got which final answer."""
+        """Log the remaining counts, and the number of requests by final answer."""
         self.log_counters()
         final_answers = {answer.name.lower(): count for answer, count in self.host.final_answers.items()}
-        self.log.info("stopped", accepted=self.host.accepted, unanswered=self._unanswered(), **final_answers)
+        self.log.info(
+            "stopped", accepted=self.host.accepted, unanswered=self._unanswered_count(), **final_answers
+        )
--- a/stepsail/proxy/serving_state.py
+++ b/stepsail/proxy/serving_state.py
@@ -1,4 +1,4 @@
-"""How far an instance is between its start and its end, as all parts that serve clients need to know."""
+"""The lifecycle state of an instance, shared by all components that serve clients."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 @dataclass(slots=True)
 class ServingState:
-    """Set by the process, read for each request.
+    """Flags that the serving process sets and that are read for each request.
 
     Attributes:
-        ready: Requests are accepted; before, each one is rejected.
-        closes_after_response: Each connection ends with its next response.
-        shutting_down: Only what the system has accepted already is served, and each connection ends with it.
-        rejects_all: The time for shutting down is nearly over: what still comes is rejected at once.
+        ready: Requests are accepted; before that, each one is rejected.
+        closes_after_response: Each connection is closed after its next response.
+        shutting_down: Only connections that the operating system has accepted already are served, and each
+            one is closed after its next response.
+        rejects_all: The shutdown timeout is about to expire; each new request is rejected at once.
     """
 
     ready: bool = False
@@ -23,5 +24,5 @@
 
     @property
     def ends_connections(self) -> bool:
-        """Whether a connection ends with its next response."""
+        """Whether each connection is closed after its next response."""
         return self.shutting_down or self.closes_after_response
--- a/stepsail/proxy/trail_recorder.py
+++ b/stepsail/proxy/trail_recorder.py
@@ -1,4 +1,4 @@
-"""The audit trail as the daemon uses it: what is recorded when, and which responses may be sent."""
+"""The daemon's use of the audit trail: what it records and when, and which responses may be sent."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from stepsail.trail.entries import EntryKind, answer_digest
 
 RECEIPT_HEADER = b"stepsail-receipt"
-MAX_ATTEMPTS_RECORDED = 20  # of one request
-STREAMED_DIGEST = "flow"  # in place of the digest of a body that is passed on as it arrives
+MAX_ATTEMPTS_RECORDED = 20  # per request
+STREAMED_DIGEST = "flow"  # recorded instead of a digest for a body that is forwarded as it arrives
 
 
 @dataclass(frozen=True, slots=True)
 class Canary:
-    """The build on trial and the limit of its exposure, as release control last said."""
+    """The canary build and its exposure limit, as last reported by release control."""
 
     build: int
     exposure_limit: float
@@ -34,12 +34,12 @@
 
 
 class TrailRecorder:
-    """Implements `RequestAudit`; does nothing where the settings name no trail.
+    """Implements `RequestAudit`; does nothing if the settings name no trail folder.
 
     Attributes:
-        canary: The build on trial, if there is one.
-        canary_attempts: Attempts at it in the present window.
-        accepted: Requests that were accepted in the present window.
+        canary: The canary build; None if there is none.
+        canary_attempts: Attempts at servers of the canary build in the current window.
+        accepted: Requests accepted in the current window.
     """
 
     def __init__(self, loop: Loop, settings: InstanceSettings, log: Logger) -> None:
@@ -71,20 +71,20 @@
         self.log.warning(event, **fields)
 
     def accepts_requests(self) -> bool:
-        """Whether the trail can record what new requests will be answered."""
+        """Return whether new requests may be accepted, given the state of the trail."""
         return self.trail is None or self.trail.accepts_requests()
 
     def release_state_changed(self, build: int, phase: str, exposure_limit: float) -> None:
-        """Release control said something new of the newest build."""
+        """Handle a new release state of the newest build."""
         self.canary = Canary(build, exposure_limit) if phase in CANARY_PHASES else None
 
     def attempt_sent(self, build: int) -> None:
-        """An attempt was sent to a server of this build."""
+        """Count an attempt at a server of this build, if it is the canary build or a later one."""
         if self.canary is not None and build >= self.canary.build:
             self.canary_attempts += 1
 
     def record_exposure(self) -> None:
-        """For ever: one entry for each window in which a canary was on trial."""
+        """Record one entry for each window with a canary build, unless the window was idle; never returns."""
         while True:
             self.loop.sleep(self.settings.router.exposure_window)
             if self.canary is not None and (self.canary_attempts or self.accepted):
@@ -100,17 +100,20 @@
             self.accepted = 0
 
     def record(self, kind: EntryKind, **fields: Any) -> None:
-        """Record a decision or a change that this instance was told of, without waiting for the disk."""
+        """Record a decision, or a change reported to this instance, without waiting for the disk."""
         if self.trail:
             self.trail.enqueue(kind, **fields)
 
     def record_response(
         self, in_flight: InFlightRequest, request_class: int, response: Response, deadline: float
     ) -> bool:
-        """Record a response before its first byte is sent; whether it may be sent.
+        """Record a response before its first byte is sent, and wait for the disk until `deadline` at most.
 
-        Waits for the disk until `deadline`. A response that is recorded after that has an entry without its SENT, and
-        the client has no response.
+        A response that is only recorded after that has an ANSWER entry but no SENT entry, and the client gets
+        no response.
+
+        Returns:
+            Whether the response may be sent.
         """
         trail = self.trail
         if trail is None:
@@ -118,19 +121,19 @@
         receipt = self._receipt(trail, in_flight)
         response.headers = [*response.headers, (RECEIPT_HEADER, receipt.encode())]
         committed = False
-        settled = Event(self.loop)
+        commit_finished = Event(self.loop)
 
         def commit_ended(succeeded: bool) -> None:
             nonlocal committed
             committed = succeeded
-            settled.set()
+            commit_finished.set()
 
         queued = trail.enqueue(
             EntryKind.ANSWER, commit_ended, **self._answer_entry(in_flight, request_class, response, receipt)
         )
         if queued:
             try:
-                settled.wait(max(0.0, deadline - self.loop.now()), "the trail")
+                commit_finished.wait(max(0.0, deadline - self.loop.now()), "the audit trail")
             except TimedOut:
                 return False
         elif trail.availability.answers_unrecorded():
@@ -160,11 +163,11 @@
         return f"{self.settings.router.instance_index}-{trail.run_id}-{in_flight.number}"
 
     def record_sent(self, in_flight: InFlightRequest, complete: bool) -> None:
-        """Record that a response was sent, and whether completely."""
+        """Record that a response was sent, and whether it was sent completely."""
         if self.trail:
             self.trail.enqueue(EntryKind.SENT, receipt=self._receipt(self.trail, in_flight), whole=complete)
 
     def close(self) -> None:
-        """Commit what is queued and end the trail."""
+        """Commit the queued entries and close the trail."""
         if self.trail:
             self.trail.close()
--- a/stepsail/proxy/wire_names.py
+++ b/stepsail/proxy/wire_names.py
@@ -1,7 +1,7 @@
-"""The daemon's words for phases, receipts, verdicts, states and outcomes, as they are sent and stored.
+"""The names of phases, receipts, verdicts, states and outcomes in the daemon's messages and stored entries.
 
-They stand in JSON messages (`control_messages`) and in the audit trail, so they stay as they are whatever the
-enumerations in the code are called.
+JSON messages (`control_messages`) and the audit trail contain them, so they must not change when the
+enumerations in the code are renamed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     "released": ReleasePhase.RELEASED,
     "withdrawn": ReleasePhase.WITHDRAWN,
 }
-CANARY_PHASES = ("trial", "reverting")  # in which attempts at the newest build count as exposure
+CANARY_PHASES = ("trial", "reverting")  # phases in which attempts at the newest build count as exposure
 RECEIPTS = {
     "counted": VoteReceipt.COUNTED,
     "error": VoteReceipt.ERROR,
@@ -43,7 +43,7 @@
     FinalAnswer.FAILED: "errored",
     FinalAnswer.CANCELLED_BY_CLIENT: "left",
 }
-OPEN_ATTEMPT = "out"  # in place of an outcome, while there is none
+OPEN_ATTEMPT = "out"  # recorded instead of an outcome for an attempt that is still open
 OUTCOME_NAMES = {
     AttemptOutcome.SERVED: "handled",
     AttemptOutcome.FAILED: "errored",
--- a/tests/endings/test_clients.py
+++ b/tests/endings/test_clients.py
@@ -146,7 +146,7 @@
 def test_request_complete_as_its_read_timeout_expires_is_answered(tmp_path: Path, kind: str) -> None:
     # The time-out and the last bytes are found in one turn of the loop; timers run before the look at the ports.
     def test(rig: PlatformRig) -> None:
-        bounds, client = rig.application.listener.bounds, raw_client(rig)
+        bounds, client = rig.application.listener.connection_limits, raw_client(rig)
         if kind == "idle":
             client.sendall(request("t0"))
             assert b"200 OK" in read_all(rig.loop, client, whole=True)
@@ -155,7 +155,8 @@
         if kind == "pieces":
             client.sendall(said[:20])
         rig.wait_until(
-            lambda: rig.application.listener.reaper.idle or rig.application.listener.reaper.awaiting_first
+            lambda: rig.application.listener.reaper.idle
+            or rig.application.listener.reaper.awaiting_first_request
         )
         rig.loop.sleep(0.02)
         stand_still(rig, (bounds.idle_timeout if kind == "idle" else bounds.first_request_timeout) + 0.05)
@@ -192,7 +193,7 @@
     def test(rig: PlatformRig) -> None:
         listener, most = rig.application.listener, rig.application.settings.max_client_connections
         crowd = [raw_client(rig) for _ in range(most)]
-        rig.wait_until(lambda: len(listener.reaper.awaiting_first) == most)
+        rig.wait_until(lambda: len(listener.reaper.awaiting_first_request) == most)
         rig.loop.sleep(FIRST_BYTE_GRACE + 0.01)
         crowd[0].sendall(request("room0"))  # the longest silent one has spoken, and its bytes lie unread
         assert listener.reaper.make_room() and listener.reaper.make_room()
@@ -211,8 +212,8 @@
         for one in crowd:
             one.sendall(b"GET /lookup HT")
         rig.wait_until(
-            lambda: len(listener.reaper.awaiting_first) == most
-            and all(w.connection.reader.begun for w in listener.reaper.awaiting_first.values())
+            lambda: len(listener.reaper.awaiting_first_request) == most
+            and all(w.connection.reader.begun for w in listener.reaper.awaiting_first_request.values())
         )
         start = rig.loop.now()
         assert rig.ask(mark="late").status in (200, 503) and rig.loop.now() - start < 1.0
--- a/tests/endings/test_shutdown.py
+++ b/tests/endings/test_shutdown.py
@@ -128,7 +128,7 @@
         for at in range(earlier):
             client.sendall(request(f"e{at}"))
             assert b"200 OK" in read_all(rig.loop, client, whole=True)
-        rig.wait_until(lambda: listener.reaper.idle if earlier else listener.reaper.awaiting_first)
+        rig.wait_until(lambda: listener.reaper.idle if earlier else listener.reaper.awaiting_first_request)
         client.sendall(request("u1"))
         listener.begin_shutdown()
         assert b"200 OK" in read_all(rig.loop, client)
@@ -169,7 +169,8 @@
         quiet.sendall(request("q1"))
         read_all(rig.loop, quiet, whole=True)
         rig.wait_until(
-            lambda: rig.application.listener.reaper.idle and rig.application.listener.reaper.awaiting_first
+            lambda: rig.application.listener.reaper.idle
+            and rig.application.listener.reaper.awaiting_first_request
         )
         start = rig.loop.now()
         rig.application.stop_requested.set()
--- a/tests/platform/test_client_protocol.py
+++ b/tests/platform/test_client_protocol.py
@@ -74,7 +74,7 @@
     protocol = PlatformClientProtocol(configure(tmp_path).settings)
     request = Request(b"GET", b"/lookup", [(b"x-call-id", REQUIRED_HEADERS["x-call-id"].encode())])
     in_flight = InFlightRequest(0, request, 1.0, 1.0)
-    protocol.request_accepted(in_flight)
+    protocol.request_started(in_flight)
     assert parse(protocol, "GET", "/lookup").status == 409
     protocol.request_ended(in_flight)
     assert isinstance(parse(protocol, "GET", "/lookup"), ParsedRequest) and not protocol.open_ids
--- a/tests/platform/test_json_log.py
+++ b/tests/platform/test_json_log.py
@@ -38,18 +38,18 @@
         assert rig.ask(mark="good").status == 200
         assert rig.send_raw(b"nonsense\r\n\r\n").startswith(b"HTTP/1.1 400")
         rig.wait_until(lambda: rig.application.host.counters.closes[ConnectionClose.BAD_REQUEST.name.lower()])
-        counted = rig.application.host.counters.take()
+        counted = rig.application.host.counters.collect_and_reset()
         assert counted["requests"] == {RejectionReason.NOT_READY.name.lower(): 1}
         assert counted["attempts"] == {"served": 1}
         refused = [fields for event, fields in rig.log if event == "request_rejected"]
         assert [(line["request"], line["reason"]) for line in refused] == [("early", "not_ready")]
-        assert not rig.application.host.counters.take()
+        assert not rig.application.host.counters.collect_and_reset()
 
     PlatformRig(tmp_path, test, [answers()])
 
 
 def test_counters_leave_out_zeros() -> None:
     tallies = Counters()
-    assert tallies.take() == {}
+    assert tallies.collect_and_reset() == {}
     tallies.closes["finished"] += 2
-    assert tallies.take() == {"closes": {"finished": 2}} and tallies.take() == {}
+    assert tallies.collect_and_reset() == {"closes": {"finished": 2}} and tallies.collect_and_reset() == {}
--- a/tests/proxy/test_audit_trail.py
+++ b/tests/proxy/test_audit_trail.py
@@ -1,4 +1,4 @@
-"""The audit trail: no client holds a response that the trail lacks, and a full disk is reported truthfully."""
+"""The audit trail: no client gets a response that the trail lacks, and a full disk is reported truthfully."""
 
 from __future__ import annotations
 
@@ -16,63 +16,68 @@
 from stepsail.trail.keys import read_public_key
 from stepsail.trail.reader import read_entries
 
-KEEP = "trail kept {\n    commit-within 50ms\n}"
+TRAIL_SETTINGS = "trail kept {\n    commit-within 50ms\n}"
 
 
-def kept(folder: Path, kind: EntryKind = EntryKind.ANSWER) -> list[dict[str, Any]]:
-    return [fields for _, (k, _, fields) in read_entries(folder / "kept") if k == kind]
+def trail_entries(folder: Path, kind: EntryKind = EntryKind.ANSWER) -> list[dict[str, Any]]:
+    return [fields for _, (entry_kind, _, fields) in read_entries(folder / "kept") if entry_kind == kind]
 
 
 def test_trail_has_each_response_as_the_client_got_it(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
         responses: dict[str, Any] = {}
-        for at in range(12):
-            if at == 9:
+        for number in range(12):
+            if number == 9:
                 rig.servers[0].script = rig.servers[1].script = answers(500)
-            answer = rig.request(("GET", "POST")[at % 2], ("/look", "/pay")[at % 2], x_request_id=f"q{at}")
+            answer = rig.request(
+                ("GET", "POST")[number % 2], ("/look", "/pay")[number % 2], x_request_id=f"q{number}"
+            )
             responses[(answer.header(b"stepsail-receipt") or b"").decode()] = answer
         rig.application.stop()
         rig.application_task.join(3.0)
-        found = kept(tmp_path)
-        assert sorted(responses) == sorted(f["receipt"] for f in found) and len(responses) == 12
-        for fields in found:
-            answer = responses[fields["receipt"]]
-            assert (fields["status"], fields["digest"]) == (
+        answers_recorded = trail_entries(tmp_path)
+        assert (
+            sorted(responses) == sorted(entry["receipt"] for entry in answers_recorded)
+            and len(responses) == 12
+        )
+        for entry_fields in answers_recorded:
+            answer = responses[entry_fields["receipt"]]
+            assert (entry_fields["status"], entry_fields["digest"]) == (
                 answer.status,
                 answer_digest(answer.status, answer.body),
             )
-            assert fields["request"].startswith("q")
-        assert {f["verdict"] for f in found} == {"handled", "errored", "denied"}
+            assert entry_fields["request"].startswith("q")
+        assert {entry["verdict"] for entry in answers_recorded} == {"handled", "errored", "denied"}
         assert (
-            all(f["whole"] for f in kept(tmp_path, EntryKind.SENT))
-            and len(kept(tmp_path, EntryKind.SENT)) == 12
+            all(entry["whole"] for entry in trail_entries(tmp_path, EntryKind.SENT))
+            and len(trail_entries(tmp_path, EntryKind.SENT)) == 12
         )
-        assert kept(tmp_path, EntryKind.RELEASE_STATE)[0]["phase"] == "released"
+        assert trail_entries(tmp_path, EntryKind.RELEASE_STATE)[0]["phase"] == "released"
 
-    Rig(tmp_path, test, [answers(), answers()], KEEP)
+    Rig(tmp_path, test, [answers(), answers()], TRAIL_SETTINGS)
     assert audit_trail(tmp_path / "kept", read_public_key(tmp_path / "kept")).findings == []
 
 
 def test_slow_sync_delays_responses_and_not_the_loop(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     import time
 
-    real = os.fdatasync
+    real_fdatasync = os.fdatasync
 
-    def slow(fd: int) -> None:
+    def slow_fdatasync(fd: int) -> None:
         time.sleep(0.25)
-        real(fd)
+        real_fdatasync(fd)
 
     def test(rig: Rig) -> None:
         assert rig.request("GET", "/look").status == 200
-        monkeypatch.setattr("stepsail.trail.disk.os.fdatasync", slow)
-        rounds, start = rig.loop.rounds, rig.loop.now()
+        monkeypatch.setattr("stepsail.trail.disk.os.fdatasync", slow_fdatasync)
+        rounds_before, start = rig.loop.rounds, rig.loop.now()
         assert rig.request("GET", "/look").status == 200
-        assert rig.loop.now() - start >= 0.24 and rig.loop.rounds - rounds > 5
-        with pytest.raises(ConnectionResetError):  # its time is over before the trail has it
+        assert rig.loop.now() - start >= 0.24 and rig.loop.rounds - rounds_before > 5
+        with pytest.raises(ConnectionResetError):  # its deadline passes before the response is recorded
             rig.request("POST", "/pay", b"{}", left=0.2)
         assert "response_not_recorded" in rig.log.events()
 
-    Rig(tmp_path, test, [answers()], KEEP)
+    Rig(tmp_path, test, [answers()], TRAIL_SETTINGS)
 
 
 @pytest.mark.parametrize("policy", ["deny", "go-on"])
@@ -82,23 +87,24 @@
     monkeypatch.setattr("stepsail.trail.availability.RETRY_INTERVAL", 0.05)
     monkeypatch.setattr("stepsail.trail.availability.RESERVE_RETRY_INTERVAL", 0.05)
     monkeypatch.setattr("stepsail.trail.committer.IDLE_INTERVAL", 0.05)
-    full = False
-    real = os.write
+    disk_is_full = False
+    real_write = os.write
 
-    def no_space(fd: int, data: Any) -> int:
-        if full and stat.S_ISREG(os.fstat(fd).st_mode):  # a disk, not the pipe that wakes the loop
+    def write_unless_full(fd: int, data: Any) -> int:
+        # Only writes to files on the disk fail, not those to the pipe that wakes the loop.
+        if disk_is_full and stat.S_ISREG(os.fstat(fd).st_mode):
             raise OSError(errno.ENOSPC, "No space left on device")
-        return real(fd, data)
+        return real_write(fd, data)
 
     def test(rig: Rig) -> None:
-        nonlocal full
-        monkeypatch.setattr("stepsail.trail.disk.os.write", no_space)
+        nonlocal disk_is_full
+        monkeypatch.setattr("stepsail.trail.disk.os.write", write_unless_full)
         response_task = rig.loop.spawn(rig.request, "POST", "/pay", b"{}")
         rig.loop.sleep(0.05)
-        full = True
-        if (
-            policy == "deny"
-        ):  # it had been taken, and cannot be recorded: the client gets nothing rather than that
+        disk_is_full = True
+        # The request was accepted before the disk was full. With `deny`, the client gets no response that
+        # cannot be recorded.
+        if policy == "deny":
             with pytest.raises(ConnectionResetError):
                 response_task.join()
         else:
@@ -110,14 +116,14 @@
         else:
             with pytest.raises(ConnectionResetError):
                 rig.request("GET", "/look")
-            assert rig.requests_seen() == 1  # turned away before the module heard of it
-        full = False
+            assert rig.requests_seen() == 1  # rejected before the router received it
+        disk_is_full = False
         rig.loop.sleep(0.4)
         assert rig.request("GET", "/look").status == 200
         rig.application.stop()
         rig.application_task.join(3.0)
-        gaps = kept(tmp_path, EntryKind.GAP)
-        assert gaps and gaps[-1]["answers"] == (2 if policy == "go-on" else 0)
+        gap_entries = trail_entries(tmp_path, EntryKind.GAP)
+        assert gap_entries and gap_entries[-1]["answers"] == (2 if policy == "go-on" else 0)
 
     Rig(tmp_path, test, [hangs(0.3)] * 2, f"trail kept {{\n    when-full {policy}\n}}")
     assert audit_trail(tmp_path / "kept", read_public_key(tmp_path / "kept")).findings == []
@@ -126,23 +132,23 @@
 def test_spent_reserve_rejects_new_requests_with_retry_after(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    fails = [0]
-    real = os.write
+    failures_left = [0]
+    real_write = os.write
 
-    def once(fd: int, data: Any) -> int:
-        if fails[0]:
-            fails[0] -= 1
+    def write_unless_failing(fd: int, data: Any) -> int:
+        if failures_left[0]:
+            failures_left[0] -= 1
             raise OSError(errno.ENOSPC, "No space left on device")
-        return real(fd, data)
+        return real_write(fd, data)
 
     def test(rig: Rig) -> None:
-        monkeypatch.setattr("stepsail.trail.disk.os.write", once)
-        fails[0] = 1
-        assert rig.request("GET", "/look").status == 200  # from the reserve
+        monkeypatch.setattr("stepsail.trail.disk.os.write", write_unless_failing)
+        failures_left[0] = 1
+        assert rig.request("GET", "/look").status == 200  # recorded in the reserve
         answer = rig.request("POST", "/pay", b"{}")
         assert answer.status == 503 and json_body(answer)["stay_away"] == 0.5 and rig.requests_seen() == 1
 
-    Rig(tmp_path, test, [answers()], KEEP)
+    Rig(tmp_path, test, [answers()], TRAIL_SETTINGS)
 
 
 def test_canary_exposure_is_recorded_for_each_window(tmp_path: Path) -> None:
@@ -154,12 +160,15 @@
         rig.loop.sleep(0.6)
         for _ in range(12):
             rig.request("GET", "/look")
-        seen = sum(len(b.seen) for b in rig.servers if b.build == 2)
+        canary_requests = sum(len(server.seen) for server in rig.servers if server.build == 2)
         rig.loop.sleep(0.6)
         rig.application.stop()
         rig.application_task.join(3.0)
-        entries = kept(tmp_path, EntryKind.EXPOSURE)
-        assert sum(t["relays"] for t in entries) == seen and sum(t["taken"] for t in entries) == 12
-        assert {t["build"] for t in entries} == {2}
+        entries = trail_entries(tmp_path, EntryKind.EXPOSURE)
+        assert (
+            sum(entry["relays"] for entry in entries) == canary_requests
+            and sum(entry["taken"] for entry in entries) == 12
+        )
+        assert {entry["build"] for entry in entries} == {2}
 
-    Rig(tmp_path, test, [answers(), answers()], KEEP, window="500ms")
+    Rig(tmp_path, test, [answers(), answers()], TRAIL_SETTINGS, window="500ms")
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -1,4 +1,4 @@
-"""Misbehaving clients, limits, pauses of the process itself, shutdown and restart."""
+"""The client listener: misbehaving clients, limits, pauses of the process, shutdown and restart."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 from stepsail.proxy.in_flight import FinalAnswer, InFlightRequest
 from stepsail.standins.service import ServiceFault
 
-GET = b"GET /look HTTP/1.1\r\nhost: x\r\n"
+GET_REQUEST_HEAD = b"GET /look HTTP/1.1\r\nhost: x\r\n"
 
 
-def read_all(rig: Rig, sock: socket.socket, within: float = 2.0) -> bytes:
-    """Everything until the close, without holding up the loop."""
+def read_all(rig: Rig, sock: socket.socket, timeout: float = 2.0) -> bytes:
+    """Reads until the connection ends, without blocking the loop, and appends how it ended."""
     sock.setblocking(False)
-    got, until = b"", rig.loop.now() + within
-    while rig.loop.now() < until:
+    received, deadline = b"", rig.loop.now() + timeout
+    while rig.loop.now() < deadline:
         try:
             data = sock.recv(65536)
         except BlockingIOError:
             rig.loop.sleep(0.005)
             continue
         except ConnectionResetError:
-            return got + b"<reset>"
+            return received + b"<reset>"
         if not data:
-            return got + b"<end>"
-        got += data
-    return got
+            return received + b"<end>"
+        received += data
+    return received
 
 
 @pytest.mark.parametrize(
@@ -49,14 +49,12 @@
         b"\x16\x03\x01\r\n\r\n",
     ],
 )
-def test_ambiguous_request_gets_400_and_a_close_and_never_reaches_the_router(
-    tmp_path: Path, data: bytes
-) -> None:
+def test_ambiguous_request_gets_400_and_never_reaches_the_router(tmp_path: Path, data: bytes) -> None:
     def test(rig: Rig) -> None:
         sock = rig.plain_socket()
         sock.sendall(data)
-        got = read_all(rig, sock)
-        assert got.startswith(b"HTTP/1.1 400 ") and got.endswith(b"<end>")
+        received = read_all(rig, sock)
+        assert received.startswith(b"HTTP/1.1 400 ") and received.endswith(b"<end>")
         assert rig.application.host.accepted == 0 and rig.requests_seen() == 0
 
     Rig(tmp_path, test, [answers()])
@@ -75,10 +73,13 @@
 def test_pipelined_requests_are_answered_in_order_on_one_connection(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
         sock = rig.plain_socket()
-        sock.sendall((GET + b"\r\n") * 3 + b"GET /nowhere HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
-        got = read_all(rig, sock)
-        assert got.count(b"HTTP/1.1 200 OK") == 3 and got.count(b"HTTP/1.1 404") == 1
-        assert got.index(b"HTTP/1.1 404") > got.rindex(b"HTTP/1.1 200 OK")
+        sock.sendall(
+            (GET_REQUEST_HEAD + b"\r\n") * 3
+            + b"GET /nowhere HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
+        )
+        received = read_all(rig, sock)
+        assert received.count(b"HTTP/1.1 200 OK") == 3 and received.count(b"HTTP/1.1 404") == 1
+        assert received.index(b"HTTP/1.1 404") > received.rindex(b"HTTP/1.1 200 OK")
 
     Rig(tmp_path, test, [answers()])
 
@@ -86,15 +87,15 @@
 def test_half_closed_client_still_gets_its_response(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
         sock = rig.plain_socket()
-        sock.sendall(GET + b"\r\n")
+        sock.sendall(GET_REQUEST_HEAD + b"\r\n")
         sock.shutdown(socket.SHUT_WR)
-        got = read_all(rig, sock)
-        assert b"late" in got and got.endswith(b"<end>")
+        received = read_all(rig, sock)
+        assert b"late" in received and received.endswith(b"<end>")
 
     Rig(tmp_path, test, [hangs(0.2)])
 
 
-def test_client_reset_reaches_the_router_and_nothing_more_is_sent_for_it(tmp_path: Path) -> None:
+def test_client_reset_cancels_the_request_and_no_further_attempt_is_sent(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
         sock = rig.plain_socket()
         sock.sendall(b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n")
@@ -111,12 +112,12 @@
     Rig(tmp_path, test, [hangs(0.3)] * 2)
 
 
-def test_client_that_never_reads_is_dropped_at_its_deadline(tmp_path: Path) -> None:
+def test_client_that_never_reads_is_disconnected_at_its_deadline(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         sock.connect(rig.listen)
-        sock.sendall(GET + b"request-timeout: 0.5\r\n\r\n")
+        sock.sendall(GET_REQUEST_HEAD + b"request-timeout: 0.5\r\n\r\n")
         rig.loop.sleep(0.8)
         assert "client_read_too_slowly" in rig.log.events()
         assert rig.application.listener.listener and not rig.application.listener.listener.open
@@ -153,34 +154,37 @@
 
 def test_requests_over_the_in_flight_limit_are_rejected_at_once(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
-        first = rig.loop.spawn(rig.request, "GET", "/look")
+        first_task = rig.loop.spawn(rig.request, "GET", "/look")
         rig.loop.sleep(0.05)
         start = rig.loop.now()
         answer = rig.request("POST", "/pay", b"{}")
         assert (answer.status, answer.header(b"retry-after")) == (503, b"1")
         assert json_body(answer)["stay_away"] == 0.5 and "harmless" in json_body(answer)["again"]
         assert rig.loop.now() - start < 0.2 and rig.requests_seen() == 1
-        assert first.join().status == 200
+        assert first_task.join().status == 200
 
     Rig(tmp_path, test, [hangs(0.4)], "door {\n    open 1\n}")
 
 
 @pytest.mark.parametrize(("pause", "in_time"), [(0.6, True), (1.0, False)])
-def test_process_paused_past_the_client_deadline_answers_who_may_still_wait(
+def test_process_paused_past_the_client_deadline_answers_a_client_that_may_still_wait(
     tmp_path: Path, pause: float, in_time: bool
 ) -> None:
-    # A client that was still there got a reset in place of its final answer. Half a second late nobody waits.
+    # Guards against a reset of the connection, instead of a final answer, while the client still waits. Half
+    # a second after its deadline, the client is assumed to have left.
     def test(rig: Rig) -> None:
         sock = rig.plain_socket()
         sock.sendall(b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\nrequest-timeout: 0.4\r\n\r\n")
         rig.loop.sleep(0.1)
-        time.sleep(pause)  # the whole process stands still, as under SIGSTOP
+        time.sleep(pause)  # pauses the whole process, as SIGSTOP does
         rig.loop.sleep(0.1)
-        got = read_all(rig, sock)
+        received = read_all(rig, sock)
         if in_time:
-            assert got.startswith((b"HTTP/1.1 200", b"HTTP/1.1 504")) and got.count(b"HTTP/1.1 ") == 1
+            assert (
+                received.startswith((b"HTTP/1.1 200", b"HTTP/1.1 504")) and received.count(b"HTTP/1.1 ") == 1
+            )
         else:
-            assert got == b"<reset>" and "response_too_late" in rig.log.events()
+            assert received == b"<reset>" and "response_too_late" in rig.log.events()
         assert rig.requests_seen() == 1 and not rig.application.host.in_flight
 
     Rig(tmp_path, test, [hangs(0.3)] * 2)
@@ -191,53 +195,63 @@
     def test(rig: Rig) -> None:
         sock = rig.plain_socket()
         rig.loop.sleep(0.02)
-        sock.sendall(GET + b"request-timeout: 0.2\r\n\r\n")
+        sock.sendall(GET_REQUEST_HEAD + b"request-timeout: 0.2\r\n\r\n")
         time.sleep(pause)
-        got = read_all(rig, sock)
+        received = read_all(rig, sock)
         if in_time:
-            assert got.startswith(b"HTTP/1.1 503") and b"harmless" in got and got.count(b"HTTP/1.1 ") == 1
+            assert (
+                received.startswith(b"HTTP/1.1 503")
+                and b"harmless" in received
+                and received.count(b"HTTP/1.1 ") == 1
+            )
         else:
-            assert got == b"<reset>"
+            assert received == b"<reset>"
         assert rig.application.host.accepted == 0 and rig.requests_seen() == 0
 
     Rig(tmp_path, test, [answers()])
 
 
-@pytest.mark.parametrize("system_tells_age", [True, False])
-def test_unread_request_counts_in_the_window_of_its_arrival(
-    tmp_path: Path, system_tells_age: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("system_reports_age", [True, False])
+def test_unread_request_counts_in_the_exposure_window_of_its_arrival(
+    tmp_path: Path, system_reports_age: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A process that stood still counted its whole backlog as accepted when it read it: rule 5 was broken, 13
-    attempts at a canary where 11.2 were allowed. Where the system does not tell since when, the loop's turns do."""
-    if not system_tells_age:
+    """Guards against counting requests as accepted only when they are read.
+
+    A process that had been paused then counted its whole backlog at once and broke the exposure limit (rule
+    5): 13 attempts at a canary where 11.2 were allowed. If the operating system does not report when bytes
+    arrived, the loop's own delays are used instead.
+    """
+    if not system_reports_age:
         monkeypatch.setattr(Stream, "seconds_since_receive", lambda stream: 0.0)
 
     def test(rig: Rig) -> None:
         sock = rig.plain_socket()
         rig.loop.sleep(0.02)
-        sock.sendall(GET + b"\r\n")
+        sock.sendall(GET_REQUEST_HEAD + b"\r\n")
         sent_at = rig.loop.now()
         time.sleep(0.2)
         assert b"200 OK" in read_all(rig, sock)
         router = rig.application.host.router
-        assert [abs(at - sent_at) < 0.1 for at in router.pool.arrivals] == [True]  # type: ignore[attr-defined]
+        assert [
+            abs(arrived_at - sent_at) < 0.1
+            for arrived_at in router.pool.arrivals  # type: ignore[attr-defined]
+        ] == [True]
 
     Rig(tmp_path, test, [answers()])
 
 
 @pytest.mark.parametrize("before_deadline", [0.004, -0.02, -0.4])
-def test_response_around_the_end_of_the_client_time_is_written(
-    tmp_path: Path, before_deadline: float
-) -> None:
-    # From some milliseconds before the client's end on it was reset, with the server's response in hand.
+def test_response_around_the_client_deadline_is_written(tmp_path: Path, before_deadline: float) -> None:
+    # Guards against a reset of the connection although the server's response is there, which happened from
+    # some milliseconds before the client's deadline on.
     def test(rig: Rig) -> None:
-        host, ended = rig.application.host, rig.application.host.attempt_ended
+        host, original_attempt_ended = rig.application.host, rig.application.host.attempt_ended
 
-        def late(in_flight: InFlightRequest, *rest: Any) -> None:
+        def delay_attempt_end(in_flight: InFlightRequest, *rest: Any) -> None:
             time.sleep(max(0.0, in_flight.client_deadline - before_deadline - rig.loop.now()))
-            ended(in_flight, *rest)
+            original_attempt_ended(in_flight, *rest)
 
-        host.attempt_ended = late  # type: ignore[method-assign, assignment]
+        host.attempt_ended = delay_attempt_end  # type: ignore[method-assign, assignment]
         answer = rig.request("GET", "/look", left=0.3)
         assert (answer.status, answer.body) == (200, b"ok") and not rig.application.host.in_flight
 
@@ -271,53 +285,56 @@
     Rig(tmp_path, test, [hangs()], "leave-within 200ms")
 
 
-def test_endpoint_cache_survives_a_restart_and_a_torn_one_is_not_used(tmp_path: Path) -> None:
+def test_endpoint_cache_survives_a_restart_and_a_damaged_one_is_not_used(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
         assert rig.request("GET", "/look").status == 200
         rig.application.stop()
         rig.application_task.join(2.0)
-        kept = rig.folder / "kept.json"
-        found = read_cache(kept)
-        assert found and [s["address"] for s in found["servers"]] == [rig.servers[0].address]
+        cache_file = rig.folder / "kept.json"
+        cached = read_cache(cache_file)
+        assert cached and [entry["address"] for entry in cached["servers"]] == [rig.servers[0].address]
         rig.discovery.fault = ServiceFault.SILENT
-        rig.start()  # ready by the kept list alone
+        rig.start()  # ready with the cached list alone
         assert rig.request("GET", "/look").status == 200
         server = rig.application.host.servers[rig.servers[0].address.encode()]
-        assert server.started_at > rig.loop.now() - 5  # type: ignore[attr-defined]  # its age is unknown: as if just started
+        # The cached list lacks the server's age, so the server is assumed to have just started.
+        assert server.started_at > rig.loop.now() - 5  # type: ignore[attr-defined]
         rig.application.stop()
         rig.application_task.join(2.0)
-        whole = kept.read_bytes()
-        for damage in (whole[:-3], whole.replace(b"ready", b"reaby"), b"", b"\xff\xff"):
-            kept.write_bytes(damage)
-            assert read_cache(kept) is None
+        intact = cache_file.read_bytes()
+        for damaged in (intact[:-3], intact.replace(b"ready", b"reaby"), b"", b"\xff\xff"):
+            cache_file.write_bytes(damaged)
+            assert read_cache(cache_file) is None
 
     Rig(tmp_path, test, [answers()], "servers {\n    cold-from 95%\n}")
 
 
-def test_slow_disk_under_the_endpoint_cache_delays_no_request(
+def test_slow_disk_during_an_endpoint_cache_write_delays_no_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Bad day, seed 4, beside a load on all cores: the kept list was written in the loop, which stood still for up to
-    0.87 s, and a client got no answer in its time."""
-    begun, go_on, replace = threading.Event(), threading.Event(), os.replace
+    """Guards against writing the endpoint cache in the event loop.
+
+    In a run of `days/bad-day` with seed 4, beside a load on all cores, the write blocked the loop for up to
+    0.87 s, and a client got no answer by its deadline.
+    """
+    write_started, write_allowed, real_replace = threading.Event(), threading.Event(), os.replace
 
-    def slowly(*names: Any) -> None:
-        begun.set()
-        go_on.wait(5.0)
-        replace(*names)
+    def replace_slowly(*paths: Any) -> None:
+        write_started.set()
+        write_allowed.wait(5.0)
+        real_replace(*paths)
 
     def test(rig: Rig) -> None:
-        monkeypatch.setattr(os, "replace", slowly)
-        until = rig.loop.now() + 5.0
-        while not begun.is_set() and rig.loop.now() < until:
+        monkeypatch.setattr(os, "replace", replace_slowly)
+        deadline = rig.loop.now() + 5.0
+        while not write_started.is_set() and rig.loop.now() < deadline:
             rig.loop.sleep(0.01)
-        assert (
-            begun.is_set() and rig.request("GET", "/look").status == 200
-        )  # while the disk holds up the write
+        # The disk still blocks the write.
+        assert write_started.is_set() and rig.request("GET", "/look").status == 200
         assert not (rig.folder / "kept.json").exists()
         rig.application.stop()
         rig.loop.sleep(0.05)
-        go_on.set()
+        write_allowed.set()
         assert rig.application_task.join(3.0) == 0 and read_cache(rig.folder / "kept.json")
 
     Rig(tmp_path, test, [answers()])
@@ -334,12 +351,12 @@
     Rig(tmp_path, test, [answers()])
 
 
-def test_router_failure_still_gives_one_answer_in_time(tmp_path: Path) -> None:
+def test_router_failure_still_gives_exactly_one_answer_in_time(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
-        def broken(*_: object) -> None:
+        def raise_error(*_: object) -> None:
             raise ValueError("a fault")
 
-        rig.application.host.router.accept_request = broken  # type: ignore[method-assign, assignment]
+        rig.application.host.router.accept_request = raise_error  # type: ignore[method-assign, assignment]
         start = rig.loop.now()
         answer = rig.request("POST", "/pay", b"{}", left=0.4)
         assert answer.status == 504 and rig.loop.now() - start <= 0.45
