--- a/bench/replay_days.py
+++ b/bench/replay_days.py
@@ -24,14 +24,14 @@
 
 # One constant each, changed by little: module of the package, text, text in its place.
 MUTANTS = (
-    ("timing.py", "TICK_WAITING = 0.05 ", "TICK_WAITING = 0.051 "),
-    ("admission.py", "LEAST_STEP = 0.5 ", "LEAST_STEP = 0.6 "),
+    ("timing.py", "TICK_INTERVAL_WHILE_WAITING = 0.05 ", "TICK_INTERVAL_WHILE_WAITING = 0.051 "),
+    ("admission.py", "MIN_WINDOW_STEP = 0.5 ", "MIN_WINDOW_STEP = 0.6 "),
     ("canary.py", "REJECTED_GAP = 0.15 ", "REJECTED_GAP = 0.14 "),
-    ("server.py", "FIRST_EJECTION = 0.5 ", "FIRST_EJECTION = 0.55 "),
+    ("server.py", "BASE_EJECTION_TIME = 0.5 ", "BASE_EJECTION_TIME = 0.55 "),
     ("admission.py", "PRIOR_LATENCY_SHARE = 0.2 ", "PRIOR_LATENCY_SHARE = 0.21 "),
     ("canary.py", "LEAST_OUTCOMES = 6 ", "LEAST_OUTCOMES = 7 "),
     ("voting.py", "RENEWAL = 0.7 ", "RENEWAL = 0.8 "),
-    ("request.py", "SPARE_LATENCIES = 2.0 ", "SPARE_LATENCIES = 2.5 "),
+    ("request.py", "MIN_REMAINING_LATENCIES = 2.0 ", "MIN_REMAINING_LATENCIES = 2.5 "),
 )
 
 
--- a/stepsail/capture/explain.py
+++ b/stepsail/capture/explain.py
@@ -32,7 +32,7 @@
         str(server.zone),
         str(server.build),
         server.state.name.lower(),
-        f"{server.warmth():.0%}",
+        f"{server.capacity_share():.0%}",
         str(len(server.attempts)),
         f"{max(0.0, server.ejected_until - now):.2f}",
         f"{server.cost():.2f}",
--- a/stepsail/decisions/__init__.py
+++ b/stepsail/decisions/__init__.py
@@ -1,29 +1,30 @@
-"""All decisions of an instance, without I/O: time is an argument, and chance comes from a seed and a counter.
+"""All decisions of an instance, without I/O.
 
-A rule is found by the name of its module:
+Time comes from the host, and random numbers from a seed and a counter, so that decisions can be replayed. The
+modules and what they decide:
 
 | module | decides |
 | --- | --- |
-| `interface` | nothing: the events that come in, the commands that go out, the settings |
-| `router` | who decides on an event; owns the other parts, the timer and the random draws |
-| `attempt` | nothing: one attempt, with its server as it was when it was sent |
-| `request` | one request: attempts, deadline, retries by idempotency and key window, the final answer |
-| `server` | one server's state: slow start, ejection, load reports, connections, latency |
-| `selection` | which server gets the next attempt; what attempts tell of connections and paths |
-| `admission` | the concurrency window, and the order in which waiting requests are served |
-| `stall_detection` | which classes and tenants are late wherever they go |
-| `exposure` | whether a build on canary may get one more attempt; which builds a key may go to |
+| `interface` | nothing: defines the incoming events, the outgoing commands and the settings |
+| `router` | which module handles an event; owns the other parts, the timer and the random draws |
+| `attempt` | nothing: holds one attempt, with its server's build, zone and cell when it was sent |
+| `request` | when a request is retried (by idempotency and key window), given up or rejected |
+| `server` | when a server is ejected; its slow start, load, connections and latency |
+| `selection` | which server gets the next attempt; statistics on connections and paths |
+| `admission` | how many attempts may be in flight; in which order waiting requests are dispatched |
+| `stall_detection` | which classes and tenants are stalled: late at all servers |
+| `exposure` | whether a build on canary may get another attempt; which builds may get a sticky key |
 | `histogram`, `evidence` | deadline-scaled latency distributions; the sequential tests on them |
-| `observations` | the outcomes that the fleet's latency is judged by, and how they fade |
-| `canary`, `pause` | whether a build is promoted or rolled back; whether a pause ends slowness everywhere |
-| `voting` | when a vote is cast, repeated, left to other instances |
-| `gossip` | what instances tell each other, and who pools it |
-| `averages`, `timing` | nothing: running statistics and intervals that several modules share |
-| `list_lease` | until when an endpoint list may be acted on |
-| `call_pacing` | how soon a failed call to a shared service is made again |
+| `observations` | which recent outcomes the fleet's latency is judged by, and how they lose weight |
+| `canary`, `pause` | whether a build is promoted or rolled back; whether pausing it ends a general slowdown |
+| `voting` | when a vote is cast, repeated or left to other instances |
+| `gossip` | what instances send to each other, and which of them judge the pooled outcomes |
+| `averages`, `timing` | nothing: define running statistics and intervals that several modules share |
+| `list_lease` | until when an endpoint list may be used |
+| `call_pacing` | when a failed call to a shared service is retried |
 
-The package exposes the classes that a snapshot in a capture may name (`stepsail/capture/stored_names.py` has
-their earlier names).
+The package exports the classes that a snapshot in a capture may name; their former names are listed in
+`stepsail/capture/stored_names.py`.
 """
 
 from stepsail.decisions.admission import Admission
--- a/stepsail/decisions/attempt.py
+++ b/stepsail/decisions/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at a server."""
+"""One attempt of a request, sent to one server."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
     from stepsail.decisions.request import Request
     from stepsail.decisions.server import Server
 
-SERVER_START = 3.0  # s after a server's start in which its latencies are no evidence
+SERVER_STARTUP_TIME = 3.0  # s after a server's start during which its latencies are no evidence
 
 
 class Attempt:
-    """One attempt of a request, with its server's build, zone and cell as they were when it was sent."""
+    """One attempt of a request, with the build, zone and cell that its server had when it was sent."""
 
     def __init__(self, request: Request, server: Server, sent_at: float) -> None:
         self.request = request
@@ -21,14 +21,14 @@
         self.build = server.build
         self.zone = server.zone
         self.cell = server.cell
-        self.server_started = sent_at - server.started_at >= SERVER_START
+        self.server_started = sent_at - server.started_at >= SERVER_STARTUP_TIME
         self.opens_connection: bool = not server.connected()
         self.counted_for_stalls = False
         self.ended = False
         self.may_have_run = True
 
     def overdue(self, now: float) -> bool:
-        """Whether it is in flight past the latency objective, and was not counted as late yet."""
+        """Return whether it is in flight past the latency objective and was not yet counted as late."""
         return (
             not self.counted_for_stalls and now > self.sent_at + self.request.request_class.latency_objective
         )
--- a/stepsail/decisions/averages.py
+++ b/stepsail/decisions/averages.py
@@ -1,42 +1,45 @@
-"""Small running statistics that several modules share: a decaying mean and a window of times."""
+"""Running statistics that several modules share: a decaying mean and a window of timestamps."""
 
 from __future__ import annotations
 
 from bisect import insort
 from collections import deque
 
-HALVE_FROM = 16  # values; from then on each new one halves the weight of all before it
+HALVING_COUNT = 16  # count of values from which the next value added halves the weight of all values
 
 
 class DecayingMean:
-    """A mean in which old values lose weight; it starts from a prior that counts as two values."""
+    """A mean in which old values lose weight; it starts from a prior that has the weight of two values."""
 
     def __init__(self, prior: float = 1.0) -> None:
         self.count = 2.0
         self.total = 2.0 * prior
 
     def add(self, value: float) -> None:
-        """Take one more value in."""
-        kept = 0.5 if self.count >= HALVE_FROM else 1.0
-        self.count = (self.count + 1) * kept
-        self.total = (self.total + value) * kept
+        """Add a value to the mean."""
+        decay_factor = 0.5 if self.count >= HALVING_COUNT else 1.0
+        self.count = (self.count + 1) * decay_factor
+        self.total = (self.total + value) * decay_factor
 
     def mean(self) -> float:
-        """The mean as it stands."""
+        """Return the current mean."""
         return self.total / self.count
 
 
 class TimestampWindow(deque[float]):
-    """Times of recent events in ascending order; with a `maxlen`, the oldest makes room."""
+    """Times of recent events in ascending order; when `maxlen` is reached, the oldest time is dropped."""
 
-    def add(self, at: float) -> None:
-        """Enter an event. After a pause of the process, events may be older than those entered already."""
+    def add(self, timestamp: float) -> None:
+        """Add the time of an event.
+
+        After a pause of the process, an event may be older than events that were added before it.
+        """
         if len(self) == self.maxlen:
             self.popleft()
-        insort(self, at)
+        insort(self, timestamp)
 
     def count_since(self, start: float) -> int:
-        """How many events are at `start` or later. Earlier ones are forgotten."""
+        """Return the number of events at or after `start`, and drop all earlier events."""
         while self and self[0] < start:
             self.popleft()
         return len(self)
--- a/stepsail/decisions/interface.py
+++ b/stepsail/decisions/interface.py
@@ -1,9 +1,9 @@
-"""The types between a router and its host: events that come in, commands that go out, settings.
+"""The interface between a router and its host: incoming events, outgoing commands and settings.
 
-A host, the proxy or a simulator's adapter, makes a router from the settings. At each event it calls the
-router, or a handle that the router gave out, one event at a time, and carries out the commands that it gets
-meanwhile. Times are seconds, with fractions, on the host's one clock. All of it stands in one module, as
-host and router have to agree on it; most of its lines document arguments.
+A host (the proxy, or the adapter of a simulator) creates a router from the settings. For each event it calls
+a method of the router, or of a handle that the router has returned, one event at a time, and executes the
+commands that the router issues during the call. Times are fractional seconds on the host's only clock. The
+interface is one module, as host and router must agree on all of it; most lines document arguments.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class RejectionReason(Enum):
-    """Why a request is given up without an answer of a server's."""
+    """Why a request is given up without an answer from a server."""
 
     TOO_LATE = "too little of its latency objective is left"
     DEADLINE = "its deadline is near"
@@ -44,7 +44,7 @@
 
 
 class EndpointState(IntEnum):
-    """What the endpoint list says of a server."""
+    """The state of a server by the endpoint list."""
 
     DRAINING = 0
     READY = 1
@@ -52,7 +52,7 @@
 
 
 class Verdict(IntEnum):
-    """What is to become of the build on canary."""
+    """The verdict on the build on canary."""
 
     NONE = 0
     PROMOTE = 1
@@ -61,7 +61,7 @@
 
 
 class ReleasePhase(IntEnum):
-    """Where the newest build stands."""
+    """The release phase of the newest build."""
 
     CANARY = 0
     ROLLING_BACK = 1
@@ -70,7 +70,7 @@
 
 
 class VoteReceipt(IntEnum):
-    """What release control made of a vote."""
+    """How release control has answered a vote."""
 
     COUNTED = 0
     ERROR = 1
@@ -80,7 +80,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request of a class may be sent again once an attempt may have run."""
+    """Whether a request may be sent again after an attempt that may have run."""
 
     IDEMPOTENT = "redoable"
     IDEMPOTENCY_KEY = "labelled"
@@ -88,7 +88,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The servers among which a repeated idempotency key is recognised, so that the request runs once."""
+    """The group of servers that recognise a repeated idempotency key, so that the request runs only once."""
 
     ALL = "all"
     ZONE = "zone"
@@ -96,9 +96,9 @@
 
 
 class PromotionControl(Enum):
-    """How votes move a stage.
+    """How a stage is promoted or rolled back.
 
-    Any one vote does, or a share of the instances' votes, or a timer that votes can only stop.
+    Any single vote decides, or the votes of a share of the instances, or a timer that votes can only stop.
     """
 
     ANY_VOTE = "any"
@@ -108,16 +108,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What is promised of the requests of one class. Times are in seconds.
+    """The service level and the retry rules of one request class. Times are in seconds.
 
     Attributes:
-        index: Place among the classes of the settings, from 0.
-        latency_objective: Time from a request's arrival within which an answer has its full worth.
+        index: Index of the class in the settings, from 0.
+        latency_objective: Time from a request's arrival within which an answer has its full weight.
         client_timeout: Time after which clients give up.
-        priority_weight: Worth of an answer in time, relative to other classes.
-        late_weight_share: Share of that worth that an answer after the objective still has.
-        idempotency: Whether a request may be sent again once it may have run.
-        deduplication_scope: Servers among which a repeated idempotency key is recognised.
+        priority_weight: Weight of an answer in time, relative to other classes.
+        late_weight_share: Share of that weight that an answer after the objective still has.
+        idempotency: Whether a request may be sent again after it may have run.
+        deduplication_scope: Group of servers that recognise a repeated idempotency key.
         key_window: Time from the first attempt for which servers remember an idempotency key.
     """
 
@@ -133,46 +133,47 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterSettings:
-    """All that a router is told at its start. Times are in seconds.
+    """The settings that a router is created with. Times are in seconds.
 
     Attributes:
         request_classes: The classes, by index.
         instance_index: Number of this instance in the fleet, from 0.
         instance_count: Number of instances.
         zone: Number of this instance's zone.
-        cross_zone_cost: Price of an attempt at a server of another zone, as a share of its worth.
-        health_check_cost: Price of a health check, as a share of a request's worth.
+        cross_zone_cost: Cost of an attempt at a server of another zone, as a share of the request's weight.
+        health_check_cost: Cost of a health check, as a share of a request's weight.
         health_checks_allowed: Whether servers may be health-checked.
         gossip_enabled: Whether instances may send messages to each other.
         cancel_allowed: Whether an attempt in flight may be cancelled.
         hedging_allowed: Whether a second attempt may be sent while one is in flight.
         max_attempts: Attempts that a request may have.
         max_retry_after: Longest time that a rejected client may be told to wait.
-        must_poll_endpoints: Whether the endpoint list has to be asked for, as discovery pushes none.
-        load_report_columns: Names of the numbers in a load report, such as `q` (queue) and `rif` (in flight).
-        load_reports_by_health_check: Whether load reports come with health checks alone, not with answers.
-        drain_grace: Time after a server was told to drain from which it must get nothing new.
-        slow_start_floor: Share of its capacity that a server has when it starts.
-        slow_start_duration: Time from its start by which a server has its full capacity.
-        overload_multiple: Multiple of its capacity beyond which a cold server falls over.
+        must_poll_endpoints: Whether the endpoint list must be polled, as discovery doesn't push it.
+        load_report_columns: Names of the numbers in a load report, such as `q` (queue length) and `rif`
+            (requests in flight).
+        load_reports_by_health_check: Whether only health checks return load reports, and answers don't.
+        drain_grace: Time after a server was told to drain from which it must get no new requests.
+        slow_start_floor: Share of its full capacity that a server has when it starts.
+        slow_start_duration: Time from a server's start until it has its full capacity.
+        overload_multiple: Multiple of its capacity beyond which a server in slow start fails.
         idle_timeout: Time after which servers close an idle connection.
-        promotion_control: How votes move a stage.
-        replaces_servers: Whether a new build's servers take the places of old ones, rather than being added.
-        bake_time: Time that a stage lasts at least.
+        promotion_control: How votes decide on a stage.
+        replaces_servers: Whether servers of a new build replace old ones, rather than being added.
+        bake_time: Minimum duration of a stage.
         stage_shares: Share of servers that run the new build, by stage.
         exposure_limits: Share of requests that the new build may get, by stage.
-        idempotent_only_stages: Number of first stages in which a new build gets idempotent requests alone.
-        sticky_keys: Whether a key that a build has answered must not go back to an earlier one.
-        exposure_per_class: Whether the exposure limit holds for each class, rather than for all together.
+        idempotent_only_stages: Number of initial stages in which a new build gets only idempotent requests.
+        sticky_keys: Whether requests with a key that a build has answered must not go to an earlier build.
+        exposure_per_class: Whether the exposure limit applies to each class, rather than to all together.
         burst_allowance: Attempts that a new build may get beyond its share.
         exposure_window: Length of the sliding window of the exposure limit.
-        vote_ttl: Time after which a vote lapses.
+        vote_ttl: Time after which a vote expires.
         vote_timeout: Time after which a vote without an answer counts as lost.
-        vote_rate_limit: Votes a second that release control takes of the fleet.
-        tenant_shares: Share of the requests that each tenant sends; empty where there are no tenants.
-        tenant_quotas: Requests a second that each tenant may send.
-        connect_timeout: Time that a server is given to accept a connection.
-        key_affinity: Whether servers work faster for keys that they have met lately.
+        vote_rate_limit: Votes per second that release control accepts from the fleet.
+        tenant_shares: Share of the requests that each tenant sends; empty if there are no tenants.
+        tenant_quotas: Requests per second that each tenant may send.
+        connect_timeout: Time within which a server must accept a connection.
+        key_affinity: Whether servers work faster for keys that they have recently handled.
     """
 
     request_classes: tuple[RequestClass, ...]
@@ -210,27 +211,27 @@
     vote_rate_limit: float
     tenant_shares: tuple[float, ...]
     tenant_quotas: tuple[float, ...]
-    # The first captures hold no settings of these names.
+    # Captures of the first format lack these settings.
     connect_timeout: float = 0.25
     key_affinity: bool = False
 
 
 class ServerHandle(Protocol):
-    """A server as the router knows it. `address` is the host's own name for it."""
+    """The router's handle of a server; `address` is the host's identifier for it."""
 
     address: bytes
 
     def update_endpoint(
         self, zone: int, cell: int, build: int, state: int, started_at: float, size: float
     ) -> None:
-        """Take over an entry of an endpoint list, before `RouterHandle.endpoint_list_received`.
+        """Apply an entry of an endpoint list, before `RouterHandle.endpoint_list_received` is called.
 
         Args:
             zone: Number of its zone.
-            cell: Number of its cell, the group of servers that share the deduplication of keys.
+            cell: Number of its cell, a group of servers that share the deduplication of keys.
             build: Number of the build that it runs.
             state: An `EndpointState`; any other number counts as gone.
-            started_at: When its process was started; 0 for long ago.
+            started_at: When its process was started; 0 if that was long ago.
             size: Its capacity relative to other servers.
         """
         ...
@@ -238,26 +239,31 @@
     def health_check_finished(
         self, duration: float, outcome: AttemptOutcome, report: Sequence[float]
     ) -> None:
-        """A health check has ended after `duration` seconds, with a load report or an empty one."""
+        """Handle the end of a health check after `duration` seconds; its load report may be empty."""
         ...
 
     def answer_disputed(self, class_index: int, since: float) -> None:
-        """A client has called an answer to a request of the class wrong; it was sent `since` seconds ago."""
+        """Handle a client's report that an answer was wrong.
+
+        Args:
+            class_index: Index of the class of the answered request.
+            since: Seconds since the answer was sent.
+        """
         ...
 
 
 class RequestHandle(Protocol):
-    """A request that the router has accepted. `number` is the host's own name for it."""
+    """The router's handle of an accepted request; `number` is the host's identifier for it."""
 
     number: int
 
     @property
     def rejection_reason(self) -> RejectionReason | None:
-        """Why the router has given it up; None as long as it has not."""
+        """Why the router has given the request up; None if it has not."""
         ...
 
     def finished(self) -> bool:
-        """Whether nothing more is to be told of it, so that the host may forget it."""
+        """Return whether the router needs no more events on the request; the host may then drop it."""
         ...
 
     def attempt_ended(
@@ -268,47 +274,47 @@
         duration: float,
         report: Sequence[float],
     ) -> None:
-        """An attempt has ended.
+        """Handle the end of an attempt.
 
         Args:
-            attempt: Which of the request's attempts, from 0.
+            attempt: Index of the attempt in the request, from 0.
             outcome: How it ended.
-            is_final: Whether the client has its answer by it, so that no other attempt is wanted.
-            duration: Seconds from `RouterHost.send_attempt` to its end.
-            report: The server's load report, in the order of the settings' columns; empty where none came.
+            is_final: Whether the client got its answer from it, so that no other attempt is needed.
+            duration: Seconds from `RouterHost.send_attempt` to the end of the attempt.
+            report: The server's load report, in the order of the settings' columns; empty if there was none.
         """
         ...
 
     def attempt_still_allowed(self, attempt: int) -> bool:
-        """Whether an attempt that was asked for may still be sent, by all that was told since.
+        """Return whether a commanded attempt may still be sent, given all events since the command.
 
-        Changes nothing.
+        The call changes no state.
         """
         ...
 
     def client_disconnected(self) -> None:
-        """The client has left; no answer is wanted any more."""
+        """Handle the disconnect of the client, which needs no answer any more."""
         ...
 
 
 class RouterHandle(Protocol):
-    """The router of one instance: takes requests, and hears of endpoints, releases and peers."""
+    """The router of one instance: accepts requests, and receives events on endpoints, releases and peers."""
 
     def add_server(self, address: bytes) -> ServerHandle:
-        """A server that the host has not named before."""
+        """Add a server that the host has not added before."""
         ...
 
     def endpoint_list_received(self, is_complete: bool, is_cached: bool) -> None:
-        """All entries of an endpoint list were handed to their servers.
+        """Handle the end of an endpoint list, after all its entries were applied to their servers.
 
         Args:
-            is_complete: Whether servers that are not in it are gone; else it holds changes alone.
-            is_cached: Whether it is the one stored before a restart, which discovery has yet to confirm.
+            is_complete: Whether servers missing from the list are gone; else the list contains only changes.
+            is_cached: Whether the list was stored before a restart, and discovery has not confirmed it yet.
         """
         ...
 
     def endpoint_poll_failed(self) -> None:
-        """A call for the endpoint list has failed."""
+        """Handle a failed call for the endpoint list."""
         ...
 
     def accept_request(
@@ -322,100 +328,103 @@
         is_retry: bool,
         age: float = 0.0,
     ) -> RequestHandle:
-        """A request has arrived.
+        """Accept a request that has arrived.
 
         Args:
-            number: The host's own name for it.
-            class_index: Its class.
-            tenant_index: Its tenant's place in the settings; their number for a tenant that is none of them.
-            effort: Seconds of work that it is expected to take, where that is known.
+            number: The host's identifier for it.
+            class_index: Index of its class.
+            tenant_index: Index of its tenant in the settings; the number of tenants for any other tenant.
+            effort: Seconds of work that it is expected to take, if known.
             deadline: When its client gives up.
-            key: What it is about: requests that share a key are related; 0 for none.
+            key: The key that it shares with related requests; 0 if it has none.
             is_retry: Whether its client has sent it before.
-            age: Seconds since its last byte came, which may have lain unread.
+            age: Seconds since its last byte arrived, as the host may have read it late.
         """
         ...
 
     def release_state_received(
         self, age: float, exposure_limit: float, build: int, stage: int, phase: ReleasePhase
     ) -> None:
-        """Release control tells where the newest build stands.
+        """Handle release control's state of the newest build.
 
         Args:
-            age: Seconds since its stage or phase began.
-            exposure_limit: Share of requests that it may get.
-            build: Its number.
-            stage: Index of its stage.
-            phase: Its phase.
+            age: Seconds since the stage or phase began.
+            exposure_limit: Share of requests that the build may get.
+            build: Number of the build.
+            stage: Index of the stage.
+            phase: The release phase.
         """
         ...
 
     def vote_acknowledged(self, receipt: VoteReceipt) -> None:
-        """Release control has answered a vote, or none came in time."""
+        """Handle release control's answer to a vote, or the lack of an answer in time."""
         ...
 
     def release_counts_received(
         self, build: int, class_index: int, count: int, failed: int, mean_latency: float, age: float
     ) -> None:
-        """Release control's counts of the whole fleet's attempts at a build, for one class.
+        """Handle release control's counts of the whole fleet's attempts at a build, for one class.
 
         Args:
-            build: The build.
-            class_index: The class.
-            count: Attempts that ended.
-            failed: Those of them that failed.
-            mean_latency: Seconds.
-            age: Seconds since the period that they are of ended.
+            build: Number of the build.
+            class_index: Index of the class.
+            count: Number of attempts that ended.
+            failed: Number of these attempts that failed.
+            mean_latency: Mean latency in seconds.
+            age: Seconds since the end of the period that the counts cover.
         """
         ...
 
     def peer_outcome_received(self, server: Any, build: int, class_index: int, bin_index: int) -> None:
-        """A peer reports an attempt's outcome: a bin of `histogram.EDGES`, or `histogram.OVERDUE`."""
+        """Handle a peer's report of an outcome: a bin index of `histogram.EDGES`, or `histogram.OVERDUE`."""
         ...
 
     def peer_stalled_classes_received(self, peer: int, class_indices: Sequence[int]) -> None:
-        """A peer reports the classes that it has found stalled."""
+        """Handle a peer's report of the classes that it has found stalled."""
         ...
 
     def peer_verdict_received(self, peer: int, build: int, stage: int, verdict: Verdict) -> None:
-        """A peer reports its verdict on a stage of a build."""
+        """Handle a peer's verdict on a stage of a build."""
         ...
 
     def membership_changed(self, present: Sequence[int]) -> None:
-        """The numbers of all instances present, in order, with this one's.
+        """Handle a change of the fleet's membership.
 
-        Called where the fleet's membership is kept. Where it never is, all instances of the settings count as
-        present.
+        Hosts without membership never call this; then all instances of the settings count as present.
+
+        Args:
+            present: Numbers of all instances present, including this one, in ascending order.
         """
         ...
 
 
 class RouterHost(Protocol):
-    """The commands that a router may give its host.
+    """The commands that a router may issue to its host.
 
-    `clock` is in seconds, and stands still during an event.
+    Attributes:
+        clock: Current time in seconds, which does not change while an event is handled.
     """
 
     clock: float
 
     def send_attempt(self, request: RequestHandle, server: ServerHandle, deadline: float) -> None:
-        """Send the request's next attempt to a server, and give it up at the deadline."""
+        """Send the request's next attempt to a server, and end the attempt at the deadline."""
         ...
 
     def cancel_attempt(self, request: RequestHandle, attempt: int) -> None:
-        """Cancel an attempt in flight; its end is told as that of any other."""
+        """Cancel an attempt in flight; its end is reported like that of any other attempt."""
         ...
 
     def reject(self, request: RequestHandle, retry_after: float) -> None:
-        """Answer that the client may send the request again after so many seconds."""
+        """Answer that the client may send the request again after `retry_after` seconds."""
         ...
 
     def fail(self, request: RequestHandle) -> None:
-        """Answer that the request has failed and must not be sent again unawares, as it may have run."""
+        """Answer that the request has failed; it must not be repeated without a check, as it may have run."""
         ...
 
     def call_later(self, delay: float, call: Callable[[], None]) -> None:
-        """Make a call after a delay in seconds."""
+        """Call a function after a delay in seconds."""
         ...
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
@@ -435,7 +444,7 @@
         ...
 
     def watch_endpoints(self) -> None:
-        """Ask discovery for the endpoint list, and for changes where it pushes them."""
+        """Ask discovery for the endpoint list, and for changes if discovery pushes them."""
         ...
 
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[ServerHandle, int, int, int]]) -> None:
@@ -455,6 +464,5 @@
         ...
 
 
-MakeRouter = Callable[
-    [RouterSettings, RouterHost, int], RouterHandle
-]  # settings, host, seed of the random draws
+# Arguments: settings, host, seed of the random draws.
+MakeRouter = Callable[[RouterSettings, RouterHost, int], RouterHandle]
--- a/stepsail/decisions/request.py
+++ b/stepsail/decisions/request.py
@@ -1,8 +1,8 @@
-"""The life of one request: its attempts, its deadline, its final answer.
+"""The life cycle of one request: its attempts, its deadline and its final answer.
 
-What may be sent again goes by the class's idempotency: an idempotent request anywhere; one with an
-idempotency key only to servers that share the deduplication of the key, within the key's window; any other
-not at all once an attempt may have run.
+Once an attempt may have run, the idempotency of the request's class decides whether the request may be sent
+again: an idempotent request to any server; a request with an idempotency key only to servers in the key's
+deduplication scope, and only within the key's window; a non-idempotent request to no server.
 """
 
 from __future__ import annotations
@@ -21,25 +21,26 @@
     RejectionReason,
     RequestClass,
 )
-from stepsail.decisions.selection import BAD_PATH
+from stepsail.decisions.selection import BAD_PATH_LATENCY_RATIO
 from stepsail.decisions.server import LOAD_REPORT_TTL
-from stepsail.decisions.timing import CLOCK_MARGIN, TICK, TICK_WAITING
+from stepsail.decisions.timing import CLOCK_MARGIN, TICK_INTERVAL, TICK_INTERVAL_WHILE_WAITING
 
 if TYPE_CHECKING:
     from stepsail.decisions.router import Router
     from stepsail.decisions.server import Server
 
-SEND_DELAY = 0.2  # s that may pass between a look at the clock and the first byte of an attempt
-SPARE_LATENCIES = 2.0  # usual latencies that must be left of the latency objective
-LEAST_WAIT = 0.25  # share of the latency objective that a request may wait even in a slow class
-OVERLOADED = 0.2  # share of attempts rejected, from which outcomes are no evidence on a build
+SEND_DELAY = 0.2  # s that may pass between the time check and the first byte of an attempt
+MIN_REMAINING_LATENCIES = 2.0  # usual latencies that must remain of the objective at the first attempt
+MIN_WAIT_SHARE = 0.25  # share of the objective for which a request may wait however slow its class is
+# Share of rejected attempts from which servers count as overloaded, and outcomes are no evidence on a build.
+OVERLOAD_REJECTION_SHARE = 0.2
 
 DID_NOT_RUN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
-TELLS_NOTHING_OF_PATH = (AttemptOutcome.FAILED, AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT)
+NOT_PATH_EVIDENCE = (AttemptOutcome.FAILED, AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT)
 
 
 class Request:
-    """One request that was accepted. `number` is the host's."""
+    """One accepted request; `number` is the host's identifier for it."""
 
     def __init__(
         self,
@@ -57,9 +58,9 @@
         self.deadline = deadline
         self.key = key
         self.is_retry = is_retry
-        self.closed = False  # whether it has its final answer, or its client has left
+        self.closed = False  # whether it has its final answer, or its client has disconnected
         self.arrived_at: float = router.host.clock - age
-        self.draw: float = router.chance()  # one draw for all chances of the request
+        self.draw: float = router.next_random()  # one draw for all random decisions on this request
         self.request_class: RequestClass = router.settings.request_classes[class_index]
         self.attempts: list[Attempt] = []
         self.usual_latency: DecayingMean = router.admission.usual_latency[class_index]
@@ -68,17 +69,17 @@
 
     @property
     def stalled(self) -> bool:
-        """Whether its class or its tenant is stalled."""
+        """Whether the request's class or tenant is stalled."""
         return any([d.stalled for d in self.stall_detectors])  # a list is faster here than a generator
 
     def finished(self) -> bool:
-        """Whether nothing more is to be heard of it."""
+        """Return whether the request is closed and all its attempts have ended."""
         return self.closed and all(a.ended for a in self.attempts)
 
-    # -- what may be sent --------------------------------------------------------------------------------
+    # -- whether an attempt is allowed -------------------------------------------------------------------
 
-    def may_go_to(self, server: Server) -> bool:
-        """Whether another attempt may go to this server, by what may have run already."""
+    def may_be_sent_to(self, server: Server) -> bool:
+        """Return whether another attempt may go to this server, given the attempts that may have run."""
         first = next((a for a in self.attempts if a.may_have_run), None)
         if first is None:
             return True
@@ -91,28 +92,29 @@
             return False
         return self.router.host.clock < first.sent_at + request_class.key_window - CLOCK_MARGIN
 
-    def attempt_still_allowed(self, number: int) -> bool:
-        """Whether an attempt may still be sent, asked right before its first byte. Changes nothing.
+    def attempt_still_allowed(self, attempt_index: int) -> bool:
+        """Return whether an attempt may still be sent; the host asks right before the attempt's first byte.
 
-        Time has passed since it was chosen: a key may have been answered by a later build, a build on canary
-        may get nothing more, the key's window may be over.
+        Since its server was chosen, a later build may have answered a request with the same key, the exposure
+        limit of a build on canary may have dropped to 0, or the key's window may have ended. The call changes
+        no state.
         """
-        attempt = self.attempts[number]
+        attempt = self.attempts[attempt_index]
         router = self.router
         if attempt.build < router.exposure.least_build(self.key):
             return False
         release = router.release
         if attempt.build == release.build and router.exposure.is_canary(attempt.build) and release.limit <= 0:
             return False
-        first = next((a for a in self.attempts[:number] if a.may_have_run), None)
+        first = next((a for a in self.attempts[:attempt_index] if a.may_have_run), None)
         if first is None or self.request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return True
         return router.host.clock < first.sent_at + self.request_class.key_window - SEND_DELAY
 
-    # -- the next attempt, or the end --------------------------------------------------------------------
+    # -- the next attempt, or giving up ------------------------------------------------------------------
 
     def dispatch(self) -> None:
-        """Send an attempt, wait for a place, or give up."""
+        """Send an attempt, wait for capacity, or give the request up."""
         router = self.router
         now = router.host.clock
         reason = self._reason_to_give_up(now)
@@ -120,7 +122,7 @@
             self.give_up(reason)
             return
         server = router.pool.choose(self) if router.admission.has_capacity(self.draw) else None
-        router.tick_within(TICK if server else TICK_WAITING)
+        router.schedule_tick(TICK_INTERVAL if server else TICK_INTERVAL_WHILE_WAITING)
         if server is None:
             router.admission.waiting.append(self)
             return
@@ -130,46 +132,54 @@
         router.admission.in_flight.append(attempt)
         self.attempts.append(attempt)
         server.attempts.append(attempt)
-        server.record_failures(0)  # one that is ejected gets one attempt at a time
+        # A server with enough failures is ejected anew: it gets one attempt at a time until one is served.
+        server.record_failures(0)
         router.host.send_attempt(self, server, self.deadline)
 
     def _reason_to_give_up(self, now: float) -> RejectionReason | None:
         if self._too_late(now):
             return RejectionReason.TOO_LATE
-        if now >= self.deadline - TICK_WAITING - CLOCK_MARGIN:
+        if now >= self.deadline - TICK_INTERVAL_WHILE_WAITING - CLOCK_MARGIN:
             return RejectionReason.DEADLINE
         if len(self.attempts) >= self.router.settings.max_attempts:
             return RejectionReason.ATTEMPTS_EXHAUSTED
-        if not any(self.may_go_to(s) for s in self.router.pool.servers):
+        if not any(self.may_be_sent_to(s) for s in self.router.pool.servers):
             return RejectionReason.NO_ELIGIBLE_SERVER
-        if self.stalled and not self.router.admission.may_try_stalled(self):
+        if self.stalled and not self.router.admission.may_dispatch_stalled(self):
             return RejectionReason.CLASS_STALLED
         return None
 
-    def may_leave_server(self) -> bool:
-        """Whether its attempts at a server that has fallen silent may be cancelled.
+    def may_cancel_attempts(self) -> bool:
+        """Return whether the request's attempts at an unresponsive server may be cancelled.
 
-        Another server must be able to have them. A request that would be given up fails if what was
-        cancelled may have run: then the silent server's answer is the only one that can still come.
+        Another server must be available for it. If the request would be given up rather than retried, it must
+        be safe to reject: else it would fail, although the unresponsive server may still answer it.
         """
         if self.closed or not (
             self.retry_is_safe() or self._reason_to_give_up(self.router.host.clock) is None
         ):
             return False
-        return any(s.available() and self.may_go_to(s) for s in self.router.pool.ready)
+        return any(s.available() and self.may_be_sent_to(s) for s in self.router.pool.ready)
 
     def _too_late(self, now: float) -> bool:
-        """Whether an answer in time is out of reach; a first attempt needs more time than a retry."""
+        """Return whether it is too late for an answer in time.
+
+        A first attempt must have `MIN_REMAINING_LATENCIES` usual latencies left before the latency objective,
+        except within the first `MIN_WAIT_SHARE` of the objective. A retry may be sent until the objective,
+        or later if a late answer still has some weight.
+        """
         objective = self.request_class.latency_objective
         if self.attempts:
             return now > self.arrived_at + objective and not self.request_class.late_weight_share
-        wait = max(objective - SPARE_LATENCIES * self.usual_latency.mean(), LEAST_WAIT * objective)
-        return now > self.arrived_at + wait
+        max_wait = max(
+            objective - MIN_REMAINING_LATENCIES * self.usual_latency.mean(), MIN_WAIT_SHARE * objective
+        )
+        return now > self.arrived_at + max_wait
 
     def give_up(self, reason: RejectionReason) -> None:
-        """End the request without an answer.
+        """End the request without an answer from a server.
 
-        It is rejected where a later retry by the client is safe, else failed.
+        It is rejected if the client may safely send it again, else it fails.
         """
         self.rejection_reason = reason
         self.closed = True
@@ -179,7 +189,7 @@
             self.router.host.fail(self)
 
     def retry_is_safe(self) -> bool:
-        """Whether the client may send the request again, whatever has run of it."""
+        """Return whether the client may safely repeat the request, given the attempts that may have run."""
         request_class = self.request_class
         return (
             request_class.idempotency is Idempotency.IDEMPOTENT
@@ -191,92 +201,105 @@
         )
 
     def client_disconnected(self) -> None:
-        """The client has left; nothing more is sent."""
+        """Close the request, so that no further attempt is sent, as its client has disconnected."""
         self.closed = True
 
     # -- the end of an attempt ---------------------------------------------------------------------------
 
     def attempt_ended(
-        self, number: int, outcome: AttemptOutcome, is_final: bool, duration: float, report: Sequence[float]
+        self,
+        attempt_index: int,
+        outcome: AttemptOutcome,
+        is_final: bool,
+        duration: float,
+        report: Sequence[float],
     ) -> None:
-        """An attempt has ended after `duration`; `is_final`: the client has its answer by it."""
-        attempt = self.attempts[number]
+        """Handle the end of an attempt after `duration`; `is_final`: the client got its answer from it."""
+        attempt = self.attempts[attempt_index]
         router = self.router
         attempt.ended = True
         attempt.may_have_run = outcome not in DID_NOT_RUN
         attempt.server.attempts.remove(attempt)
         router.admission.in_flight.remove(attempt)
         attempt.server.report_received(report)
-        # Neither lost nor slow: a connect that the server has refused.
+        # A connect that fails this early was refused by the server, rather than lost or slow.
         was_refused = (
             outcome is AttemptOutcome.CONNECT_FAILED and duration < router.settings.connect_timeout / 2
         )
-        router.pool.connection_tried(attempt, outcome, was_refused)
-        was_paused = router.was_paused()
-        self._measure(attempt, outcome, duration, was_paused)
-        if not was_paused:
-            self._judge(attempt, outcome, duration)
+        router.pool.record_connection_outcome(attempt, outcome, was_refused)
+        process_was_paused = router.process_was_paused()
+        self._record_latency(attempt, outcome, duration, process_was_paused)
+        if not process_was_paused:
+            self._record_evidence(attempt, outcome, duration)
         if outcome is AttemptOutcome.SERVED:
             router.exposure.answered(self.key, attempt.build)
         self.closed = self.closed or is_final
         if not self.closed and all(a.ended for a in self.attempts):
             self.dispatch()
         if router.admission.waiting and router.admission.has_capacity():
-            router.admission.serve_waiting(False)
+            router.admission.dispatch_waiting(False)
 
-    def _measure(self, attempt: Attempt, outcome: AttemptOutcome, duration: float, was_paused: bool) -> None:
-        """Enter the attempt's latency into those of its class, its path and its server."""
+    def _record_latency(
+        self, attempt: Attempt, outcome: AttemptOutcome, duration: float, process_was_paused: bool
+    ) -> None:
+        """Record the attempt's latency for its class, its path and its server."""
         pool = self.router.pool
         stalled = self.stalled
-        if not was_paused and not stalled:
+        if not process_was_paused and not stalled:
             if outcome is AttemptOutcome.SERVED:
                 self.usual_latency.add(duration)
-            if outcome not in TELLS_NOTHING_OF_PATH:
-                pool.path_measured(attempt.zone, outcome, duration / self.usual_latency.mean())
-        tells_latency = not was_paused and attempt.server_started
+            if outcome not in NOT_PATH_EVIDENCE:
+                pool.record_path_latency(attempt.zone, outcome, duration / self.usual_latency.mean())
+        latency_is_valid = not process_was_paused and attempt.server_started
         ratio = duration / self.usual_latency.mean()
-        attempt.server.attempt_ended(outcome, ratio, tells_latency, stalled)
+        attempt.server.attempt_ended(outcome, ratio, latency_is_valid, stalled)
 
-    def _judge(self, attempt: Attempt, outcome: AttemptOutcome, duration: float) -> None:
-        """Take the outcome as evidence on stalls, on overload and on the build, where it is any."""
+    def _record_evidence(self, attempt: Attempt, outcome: AttemptOutcome, duration: float) -> None:
+        """Record the outcome as evidence on stalls, overload and the build, where it is evidence."""
         server = attempt.server
-        if not self._answered(attempt, outcome, duration) or server.path_ratio() >= BAD_PATH:
+        if (
+            not self._caused_by_server(attempt, outcome, duration)
+            or server.path_latency_ratio() >= BAD_PATH_LATENCY_RATIO
+        ):
             return
         router = self.router
         in_time = outcome is not AttemptOutcome.TIMED_OUT and duration <= self.request_class.latency_objective
-        self.record_for_stalls(attempt, not in_time)
-        share = duration / self.request_class.client_timeout if outcome is AttemptOutcome.SERVED else 1.0
-        seen = (server, attempt.build, self.request_class.index, bisect_left(EDGES, share))
+        self.record_for_stall_detection(attempt, not in_time)
+        timeout_share = (
+            duration / self.request_class.client_timeout if outcome is AttemptOutcome.SERVED else 1.0
+        )
+        observation = (server, attempt.build, self.request_class.index, bisect_left(EDGES, timeout_share))
+
         if self.stalled:
-            router.gossip.add(seen)  # so that judges hear when the stall is over
+            router.gossip.add(observation)  # so that judges notice the end of the stall
             return
-        # A late answer of a server without a queue is slow, not overloaded: fewer attempts make it no faster.
+        # A server that answers late without a queue is slow, not overloaded: fewer attempts don't help it.
         queue_unknown = router.host.clock - server.last_response_at > LOAD_REPORT_TTL
         if in_time or server.reported_queue > 0 or queue_unknown:
             router.admission.adjust_window(in_time)
         is_evidence = (
             attempt.server_started
-            and router.pool.rejected_attempts < OVERLOADED
+            and router.pool.rejected_attempts < OVERLOAD_REJECTION_SHARE
             and attempt.sent_at >= router.observations.evidence_from
         )
         if is_evidence:
-            router.observe(*seen)
+            router.observe(*observation)
 
-    def _answered(self, attempt: Attempt, outcome: AttemptOutcome, duration: float) -> bool:
-        """Whether the outcome is the server's doing.
+    def _caused_by_server(self, attempt: Attempt, outcome: AttemptOutcome, duration: float) -> bool:
+        """Return whether the server itself caused the outcome.
 
-        A timeout is if the server was heard from since; it is not if the client left before the latency
-        objective.
+        It caused a timeout if it has responded to anything since the attempt was sent, unless the client gave
+        up before the latency objective.
         """
         if outcome is AttemptOutcome.TIMED_OUT:
             was_cut_short = duration <= self.request_class.latency_objective
             return attempt.server.last_response_at > attempt.sent_at and not was_cut_short
         return outcome in (AttemptOutcome.SERVED, AttemptOutcome.FAILED)
 
-    def record_for_stalls(self, attempt: Attempt, is_late: bool) -> None:
-        """Count an attempt for whether its class or tenant is stalled.
+    def record_for_stall_detection(self, attempt: Attempt, is_late: bool) -> None:
+        """Count an attempt for the stall detectors of its class and tenant.
 
-        Each counts once, when it ends or becomes overdue.
+        Each attempt counts once: when it becomes overdue, or when it ends before that.
         """
         if not attempt.counted_for_stalls:
             attempt.counted_for_stalls = True
--- a/stepsail/decisions/router.py
+++ b/stepsail/decisions/router.py
@@ -1,7 +1,8 @@
-"""The coordinator of one instance's decisions: hands each event of the host to the module that decides.
+"""Coordinates one instance's decisions: passes each event of the host to the module that decides on it.
 
-A host, as `stepsail/decisions/interface.py` describes it, makes `Router(settings, host, seed)` and calls it
-and the handles that it gives out. The router owns the parts, the timer between events, and the random draws.
+A host, as described in `stepsail/decisions/interface.py`, creates a `Router(settings, host, seed)`, and calls
+its methods and those of the handles that it returns. The router owns the other parts, the timer between
+events and the random draws.
 """
 
 from __future__ import annotations
@@ -26,29 +27,30 @@
 )
 from stepsail.decisions.observations import Observations
 from stepsail.decisions.request import Request
-from stepsail.decisions.selection import BAD_PATH, ServerPool
-from stepsail.decisions.server import EJECTING_FAILURES, Server
+from stepsail.decisions.selection import BAD_PATH_LATENCY_RATIO, ServerPool
+from stepsail.decisions.server import EJECTION_THRESHOLD, Server
 from stepsail.decisions.stall_detection import StallDetection
-from stepsail.decisions.timing import CLOCK_MARGIN, TICK, TICK_WAITING
+from stepsail.decisions.timing import CLOCK_MARGIN, TICK_INTERVAL, TICK_INTERVAL_WHILE_WAITING
 from stepsail.decisions.voting import VotingRules
 
-FIRST_POLL_PAUSE = 0.8  # s between polls of discovery
-LONGEST_POLL_PAUSE = 4.0  # s
-POLL_PAUSE_GROWTH = 1.5  # factor from one failed poll to the next, so that calls don't pile up
+INITIAL_POLL_PAUSE = 0.8  # s; pause between polls of discovery before any growth
+MAX_POLL_PAUSE = 4.0  # s
+POLL_PAUSE_GROWTH = 1.5  # factor after each poll while no list is confirmed, so that calls don't pile up
 
 
 class Router:
-    """All decisions of one instance; see `RouterHandle` for its events."""
+    """Makes all decisions of one instance; see `RouterHandle` for its events."""
 
-    pool_type: type[ServerPool] = ServerPool  # what an experiment compares with puts another one here
+    pool_type: type[ServerPool] = ServerPool  # overridden by the baselines of experiments
     canary_type: type[Canary] = Canary
 
     def __init__(self, settings: RouterSettings, host: RouterHost, seed: int) -> None:
         self.settings = settings
         self.host = host
         self.seed = seed
-        self.draws = 0  # random numbers drawn
-        self.fleet_position: tuple[int, int] | None = None  # by the fleet's membership, where it is known
+        self.draws = 0  # number of random draws made
+        # This instance's index and the number of instances, by the fleet's membership if it is known.
+        self.fleet_position: tuple[int, int] | None = None
         self.pool = self.pool_type(self)
         self.stalls = StallDetection(self)
         self.admission = Admission(self)
@@ -59,65 +61,70 @@
         self.voting = VotingRules(self)
         self.canary: Canary | None = None
         self.next_tick_at = inf
-        self.resumed_at = 0.0  # when this process last went on after a pause
+        self.resumed_at = 0.0  # when this process last resumed after a pause
         self.list_confirmed = not settings.must_poll_endpoints
-        self.poll_pause = FIRST_POLL_PAUSE
-        self._share_judging(range(settings.instance_count))
+        self.poll_pause = INITIAL_POLL_PAUSE
+        self._update_judges(range(settings.instance_count))
         self.ensure_endpoint_watch()
 
-    def chance(self) -> float:
-        """The next random draw, uniform in [0, 1), by seed and counter."""
+    def next_random(self) -> float:
+        """Return the next random number, uniform in [0, 1), from the seed and a counter."""
         self.draws += 1
         return crc32(b"%d.%d" % (self.seed, self.draws)) / 2**32
 
     # -- the fleet ---------------------------------------------------------------------------------------
 
     def position(self) -> tuple[int, int]:
-        """This instance's place among those present, and their number; by the settings if not known."""
+        """Return this instance's index among the instances present, and their number.
+
+        Both are taken from the settings while the membership is unknown.
+        """
         return self.fleet_position or (self.settings.instance_index, max(1, self.settings.instance_count))
 
     def servers_per_instance(self) -> float:
-        """This instance's part of the ready servers."""
+        """Return the number of ready servers divided by the number of instances."""
         return len(self.pool.ready) / self.position()[1]
 
     def membership_changed(self, present: Sequence[int]) -> None:
-        """The numbers of the instances that are there share servers, votes and judging."""
+        """Redistribute servers, votes and judging among the instances now present."""
         index = bisect_left(present, self.settings.instance_index)
         self.fleet_position = (index, max(1, len(present)))
-        self._share_judging(present)
+        self._update_judges(present)
 
-    def _share_judging(self, present: Sequence[int]) -> None:
+    def _update_judges(self, present: Sequence[int]) -> None:
         self.gossip.elect_judges(present)
         self.voting.update()
 
     # -- endpoints ---------------------------------------------------------------------------------------
 
     def add_server(self, address: bytes) -> Server:
-        """A server that was not known."""
+        """Add a server that was not known before."""
         server = Server(self, address)
         self.pool.servers.append(server)
         return server
 
     def endpoint_list_received(self, is_complete: bool, is_cached: bool) -> None:
-        """All entries of a list were handed to their servers."""
+        """Update the server pool, after all entries of a list were applied to their servers."""
         self.pool.endpoint_list_received(is_complete)
         if not is_cached:
             self.list_confirmed = True
 
     def endpoint_poll_failed(self) -> None:
-        """A call for a list has failed."""
+        """Mark the list as unconfirmed, as a call for it has failed."""
         self.list_confirmed = False
 
     def ensure_endpoint_watch(self) -> None:
-        """Ask for the endpoint list until one is confirmed.
+        """Ask discovery for the endpoint list if none is confirmed.
 
-        Where discovery must be polled, look again later.
+        If discovery must be polled, the check is repeated after a pause.
         """
         if not self.list_confirmed:
             self.host.watch_endpoints()
-            self.poll_pause = min(LONGEST_POLL_PAUSE, self.poll_pause * POLL_PAUSE_GROWTH)
+            self.poll_pause = min(MAX_POLL_PAUSE, self.poll_pause * POLL_PAUSE_GROWTH)
         if self.settings.must_poll_endpoints:
-            self.host.call_later(self.poll_pause * (0.75 + 0.5 * self.chance()), self.ensure_endpoint_watch)
+            self.host.call_later(
+                self.poll_pause * (0.75 + 0.5 * self.next_random()), self.ensure_endpoint_watch
+            )
 
     # -- requests ----------------------------------------------------------------------------------------
 
@@ -132,7 +139,7 @@
         is_retry: bool,
         age: float = 0.0,
     ) -> Request:
-        """Take a request and dispatch it."""
+        """Accept a request and dispatch it."""
         request = Request(self, number, class_index, tenant_index, deadline, key, is_retry, age)
         self.exposure.of_class(request.request_class.index).accepted.add(request.arrived_at)
         self.pool.arrivals.add(request.arrived_at)
@@ -144,26 +151,26 @@
     def release_state_received(
         self, age: float, exposure_limit: float, build: int, stage: int, phase: ReleasePhase
     ) -> None:
-        """Release control's state of the newest build, `age` seconds old."""
+        """Apply release control's state of the newest build, whose stage or phase began `age` seconds ago."""
         release = self.release
         if build < release.build:
-            return  # late: a newer build has followed
+            return  # outdated: a newer build is known
         if build > release.build:
             self.observations.new_build_offered()
-        has_moved = (build, stage, phase) != (release.build, release.stage, release.phase)
+        has_changed = (build, stage, phase) != (release.build, release.stage, release.phase)
         release.build = build
         release.stage = stage
         release.phase = phase
         release.limit = exposure_limit
-        if has_moved:
+        if has_changed:
             self.exposure.forget_unbound_keys()
             self._begin_stage(self.host.clock - age)
-            self.tick_within(TICK)
+            self.schedule_tick(TICK_INTERVAL)
 
     def _begin_stage(self, started_at: float) -> None:
-        """Begin the judgement of a stage.
+        """Start judging a stage.
 
-        A build that was judged on canary is watched on after its release.
+        A build that this instance has judged on canary is also judged after its release.
         """
         release = self.release
         was_judged = self.canary is not None and self.canary.build == release.build
@@ -176,16 +183,16 @@
             self.canary = None
 
     def vote_acknowledged(self, receipt: VoteReceipt) -> None:
-        """Release control has answered a vote."""
+        """Pass release control's response to a vote on to the ballot."""
         if self.canary:
             self.canary.ballot.acknowledged(receipt)
 
     def release_counts_received(
         self, build: int, class_index: int, count: int, failed: int, mean_latency: float, age: float
     ) -> None:
-        """Release control's counts: the only pooled view where instances exchange no gossip."""
-        if any(s.path_ratio() >= BAD_PATH for s in self.pool.ready):
-            failed = 0  # the path's losses
+        """Record release control's counts: the only fleet-wide data if instances exchange no gossip."""
+        if any(s.path_latency_ratio() >= BAD_PATH_LATENCY_RATIO for s in self.pool.ready):
+            failed = 0  # the failures may be losses on the bad path
         if self.settings.gossip_enabled or class_index >= len(self.settings.request_classes):
             return
         if 0 <= failed <= count:
@@ -196,25 +203,25 @@
     def observe(
         self, server: Server, build: int, class_index: int, bin_index: int, is_own: bool = True
     ) -> None:
-        """Enter an outcome, this instance's own or a peer's, wherever it is evidence."""
+        """Add an outcome, this instance's own or a peer's, to all histograms that it is evidence for."""
         observations = self.observations
         canary = self.canary
-        sides: list[HistogramsByClass] = [observations.recent, observations.newest]
+        targets: list[HistogramsByClass] = [observations.recent, observations.newest]
         if canary is not None:
             if build < canary.build:
-                sides += [canary.baseline, canary.long_baseline]
+                targets += [canary.baseline, canary.long_baseline]
             elif build == canary.build:
-                sides.append(canary.outcomes)
+                targets.append(canary.outcomes)
             if build == server.build:
-                sides.append(server.outcomes)
-        for side in sides:
-            side.setdefault(class_index, LatencyHistogram()).add(bin_index)
+                targets.append(server.outcomes)
+        for histograms in targets:
+            histograms.setdefault(class_index, LatencyHistogram()).add(bin_index)
         if is_own:
             self.gossip.add((server, build, class_index, bin_index))
         observations.changed = True
 
     def discard_evidence(self) -> None:
-        """Drop all evidence on servers and builds, as it was neither's doing."""
+        """Discard all evidence on servers and builds, as neither caused the outcomes."""
         self.observations.discard_recent()
         for server in self.pool.servers:
             server.discard_evidence()
@@ -222,7 +229,7 @@
             self.canary.discard_evidence()
 
     def peer_outcome_received(self, server: Server, build: int, class_index: int, bin_index: int) -> None:
-        """A peer has reported an outcome; unknown classes and bins are passed over."""
+        """Record an outcome that a peer has reported; unknown classes and bins are ignored."""
         is_known_bin = bin_index <= FAILURE_BIN or bin_index >= OVERDUE
         if class_index >= len(self.settings.request_classes) or not is_known_bin:
             return
@@ -232,69 +239,69 @@
             self.observe(server, build, class_index, bin_index, is_own=False)
 
     def peer_stalled_classes_received(self, peer: int, class_indices: Sequence[int]) -> None:
-        """A peer reports stalled classes; only judges' reports count."""
+        """Apply a peer's report of stalled classes; only reports of judges count."""
         if peer in self.gossip.judges:
             self.stalls.report_received(class_indices)
 
     def peer_verdict_received(self, peer: int, build: int, stage: int, verdict: Verdict) -> None:
-        """A peer reports its verdict."""
+        """Apply a peer's verdict; only verdicts of judges count."""
         self.gossip.verdict_received(peer, build, stage, verdict)
 
     # -- the timer ---------------------------------------------------------------------------------------
 
-    def tick_within(self, delay: float) -> None:
-        """Have a tick after `delay` seconds, or sooner if one is due sooner."""
+    def schedule_tick(self, delay: float) -> None:
+        """Schedule a tick after `delay` seconds, unless one is due sooner."""
         if self.host.clock + delay < self.next_tick_at:
             self.next_tick_at = self.host.clock + delay
             self.host.call_later(delay, self.tick)
 
-    def was_paused(self) -> bool:
-        """Whether this process has just stood still: what it then reads at once looks slow, and was not."""
-        if self.host.clock > self.next_tick_at + TICK:
+    def process_was_paused(self) -> bool:
+        """Return whether this process has just resumed after a pause.
+
+        Responses that it reads at this time look slow, although they only waited for this process.
+        """
+        if self.host.clock > self.next_tick_at + TICK_INTERVAL:
             self.resumed_at = self.host.clock
         return self.resumed_at == self.host.clock
 
     def tick(self) -> None:
-        """Look at what time alone changes: overdue attempts, silent servers, waiting requests, the canary."""
+        """Check everything that changes with time: attempts, servers, waiting requests and the canary."""
         if self.host.clock < self.next_tick_at - CLOCK_MARGIN / 2:
-            return  # a sooner one was set since
-        was_paused = self.was_paused()
+            return  # superseded by a sooner tick, which has run already
+        process_was_paused = self.process_was_paused()
         self.next_tick_at = inf
-        if not was_paused:
+        if not process_was_paused:
             self._record_overdue()
-            self._leave_unresponsive_servers()
+            self._eject_unresponsive_servers()
         self.observations.fade()
-        self.admission.serve_waiting(True)
+        self.admission.dispatch_waiting(True)
         if self.canary:
             self.canary.review()
         self.gossip.send_if_due()
         waiting = self.admission.waiting
         if waiting or self.admission.in_flight or self.canary or self.gossip.outbox:
-            self.tick_within(TICK_WAITING if waiting else TICK)
+            self.schedule_tick(TICK_INTERVAL_WHILE_WAITING if waiting else TICK_INTERVAL)
 
     def _record_overdue(self) -> None:
-        """Count attempts past the latency objective as late without waiting for their end."""
+        """Count attempts in flight past the latency objective as late, before they end."""
         now = self.host.clock
         overdue = [attempt for attempt in self.admission.in_flight if attempt.overdue(now)]
         for attempt in overdue:
             request = attempt.request
-            if attempt.server.path_ratio() < BAD_PATH:
+            if attempt.server.path_latency_ratio() < BAD_PATH_LATENCY_RATIO:
                 self.gossip.add((attempt.server, attempt.build, request.request_class.index, OVERDUE))
-            request.record_for_stalls(attempt, True)
-
-    def _leave_unresponsive_servers(self) -> None:
-        """Eject servers that have fallen silent.
+            request.record_for_stall_detection(attempt, True)
 
-        Their attempts are cancelled where their requests may leave them for another server.
-        """
+    def _eject_unresponsive_servers(self) -> None:
+        """Eject unresponsive servers, and cancel their attempts whose requests may move to another server."""
         used = dict.fromkeys(attempt.server for attempt in self.admission.in_flight)
         for server in [s for s in used if s.unresponsive()]:
-            server.record_failures(EJECTING_FAILURES)
+            server.record_failures(EJECTION_THRESHOLD)
             if self.settings.cancel_allowed:
                 for attempt in list(server.attempts):
-                    self._cancel_if_movable(attempt)
+                    self._cancel_if_allowed(attempt)
 
-    def _cancel_if_movable(self, attempt: Attempt) -> None:
+    def _cancel_if_allowed(self, attempt: Attempt) -> None:
         request = attempt.request
-        if request.may_leave_server():
+        if request.may_cancel_attempts():
             self.host.cancel_attempt(request, request.attempts.index(attempt))
--- a/stepsail/decisions/selection.py
+++ b/stepsail/decisions/selection.py
@@ -1,7 +1,8 @@
-"""Which server gets the next attempt: power of two choices among weighted, connected servers.
+"""Selects the server of the next attempt by power of two choices among weighted, connected servers.
 
-Few servers are used by an instance with few requests, so that connections stay open; cold servers get no more
-than their slow-start share; a key goes to its two home servers where servers work faster for keys met lately.
+An instance with few requests uses few servers, so that connections stay open. Servers in slow start get no
+more than their slow-start share. If servers work faster for recently used keys (key affinity), requests with
+a key prefer the key's two home servers.
 """
 
 from __future__ import annotations
@@ -23,41 +24,43 @@
     from stepsail.decisions.request import Request
     from stepsail.decisions.router import Router
 
-HOME_COST_SHARE = 0.7  # of a home server's cost, from which another server is as good
-HOME_SERVERS = 2  # for each key
-LEAST_WEIGHT = 1e-9
-LEAST_SERVERS = 4  # that an instance uses, however few its requests
-ATTEMPTS_PER_CONNECTION = 15  # that a connection should carry within the idle timeout
-ARRIVALS_KEPT = 4000  # times of requests
-COLD_SHARE = 0.5  # of the requests that overload cold servers, which all instances may send them together
-KEPT_CONNECTIONS = 2  # idle ones, where servers refuse connections
-REFUSED_CONNECTS = 0.05  # share of connects refused at once, from which idle connections are closed
-LATEST_WEIGHT = 0.08  # of the latest attempt in a share that follows quickly
-EARLIER_SERVERS = 0.5  # share of servers of earlier builds from which these can do all the work
-BAD_PATH = 3.0  # times the best path's latency, from which outcomes are the path's doing
+HOME_COST_FACTOR = 0.7  # factor on a home server's cost when it is compared with that of another server
+HOME_SERVERS_PER_KEY = 2
+MIN_WEIGHT = 1e-9  # avoids a division by 0
+MIN_SERVERS_USED = 4  # servers that an instance uses at least, however few requests it has
+ATTEMPTS_PER_CONNECTION = 15  # attempts that a connection should carry within the idle timeout
+MAX_ARRIVALS_KEPT = 4000  # arrival times of requests
+# Share of the load that overloads servers in slow start, up to which all instances together may send to them.
+MAX_COLD_LOAD_SHARE = 0.5
+MIN_CONNECTIONS_KEPT = 2  # servers whose connections stay open while connects are refused
+REFUSED_CONNECT_THRESHOLD = 0.05  # share of connects refused at once, from which idle connections are closed
+SMOOTHING_FACTOR = 0.08  # weight of the latest attempt in exponential moving averages
+MIN_EARLIER_BUILD_SHARE = 0.5  # share of ready servers on earlier builds that can handle all requests
+BAD_PATH_LATENCY_RATIO = 3.0  # multiple of the best path's latency from which outcomes are due to the path
 
 
 class ServerPool:
-    """All servers known, which of them may be chosen, and how the paths to them do."""
+    """All known servers, those that may be chosen, and statistics on the paths and connects to them."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
         self.host = router.host
         self.settings = router.settings
         self.servers: list[Server] = []
-        self.ready: list[Server] = []  # rotated by the instance's position, so that small subsets differ
-        self.list_number: int = 0  # endpoint lists received
-        self.arrivals = TimestampWindow(maxlen=ARRIVALS_KEPT)
-        self.zone_latency: dict[int, DecayingMean] = {}  # by zone, as a multiple of the class's usual latency
-        self.best_zone_latency: float = 0.0  # the least of them; 0 while there is none
+        # Rotated by the instance's position in the fleet, so that instances use different subsets.
+        self.ready: list[Server] = []
+        self.list_number: int = 0  # number of endpoint lists received
+        self.arrivals = TimestampWindow(maxlen=MAX_ARRIVALS_KEPT)
+        self.zone_latency: dict[int, DecayingMean] = {}  # by zone, in usual latencies of the class
+        self.best_zone_latency: float = 0.0  # the least mean of `zone_latency`; 0 while that is empty
         self.connect_failures: DecayingMean = DecayingMean(0.0)  # share of connects that failed
-        self.refused_connects = 0.0  # share of connects lately that were refused at once
-        self.rejected_attempts = 0.0  # share of attempts lately that were rejected or found no connection
+        self.refused_connects = 0.0  # recent share of connects that were refused at once
+        self.rejected_attempts = 0.0  # recent share of attempts that were rejected or failed to connect
 
     def endpoint_list_received(self, is_complete: bool) -> None:
-        """All entries of an endpoint list have been handed to their servers.
+        """Update the ready servers, after all entries of an endpoint list were applied to their servers.
 
-        A complete list ends all others.
+        Servers that are missing from a complete list count as gone.
         """
         for server in self.servers:
             if is_complete and server.list_number != self.list_number:
@@ -70,42 +73,45 @@
         self.ready = ready[start:] + ready[:start]
 
     def earlier_build_suffices(self) -> bool:
-        """Whether enough servers run earlier builds than the newest to do all the work."""
+        """Return whether enough servers run builds before the newest one to handle all requests."""
         newest = self.router.release.build
-        return sum(s.build < newest for s in self.ready) >= EARLIER_SERVERS * len(self.ready)
+        return sum(s.build < newest for s in self.ready) >= MIN_EARLIER_BUILD_SHARE * len(self.ready)
 
-    # -- the next attempt's server -----------------------------------------------------------------------
+    # -- server of the next attempt ----------------------------------------------------------------------
 
     def choose(self, request: Request) -> Server | None:
-        """The server of a request's next attempt; None where none may have it now."""
+        """Return the server for the request's next attempt, or None if no server may get it now."""
         now = self.host.clock
         exposure = self.router.exposure
         candidates = self._candidates(request)
         builds = {s.build for s in candidates}
-        on_canary = {b: exposure.may_expose(request, b) for b in builds if exposure.is_canary(b)}
-        canary = [s for s in candidates if on_canary.get(s.build)]
-        baseline = [s for s in candidates if s.build not in on_canary]
-        canary_capacity = sum(s.warmth() for s in canary)
-        baseline_capacity = sum(s.warmth() for s in baseline)
+        exposure_allowed = {b: exposure.may_expose(request, b) for b in builds if exposure.is_canary(b)}
+        canary = [s for s in candidates if exposure_allowed.get(s.build)]
+        baseline = [s for s in candidates if s.build not in exposure_allowed]
+        canary_capacity = sum(s.capacity_share() for s in canary)
+        baseline_capacity = sum(s.capacity_share() for s in baseline)
         capacity = canary_capacity + baseline_capacity
-        # One draw for each request bounds what all instances together send to cold servers.
-        if request.draw * len(self.ready) > COLD_SHARE * self.settings.overload_multiple * capacity:
+        # The request's one random draw limits what all instances together send to servers in slow start.
+        if request.draw * len(self.ready) > MAX_COLD_LOAD_SHARE * self.settings.overload_multiple * capacity:
             canary = [s for s in canary if s.warm_at <= now]
             baseline = [s for s in baseline if s.warm_at <= now]
         if canary and baseline:
-            chosen = canary if self.router.chance() * capacity < canary_capacity else baseline
+            chosen = canary if self.router.next_random() * capacity < canary_capacity else baseline
         else:
             chosen = canary or baseline
         return self.pick(chosen, request.key) if chosen else None
 
     def _candidates(self, request: Request) -> list[Server]:
-        """Servers that the request may go to; if there are any, those neither tried nor ejected."""
+        """Return the servers that may get the request's next attempt.
+
+        Servers that are neither tried nor ejected are preferred, then any that were not tried.
+        """
         now = self.host.clock
         tried = [a.server for a in request.attempts]
         least_build = self.router.exposure.least_build(request.key)
         allowed = self.ready
         if least_build or tried:
-            allowed = [s for s in allowed if s.build >= least_build and request.may_go_to(s)]
+            allowed = [s for s in allowed if s.build >= least_build and request.may_be_sent_to(s)]
         return (
             [s for s in allowed if s.ejected_until <= now and s not in tried]
             or [s for s in allowed if s not in tried]
@@ -113,69 +119,80 @@
         )
 
     def pick(self, servers: Sequence[Server], key: int = 0) -> Server:
-        """The cheaper of two servers drawn by weight; a key's home while it is warm and not crowded."""
+        """Return the cheaper of two servers drawn by weight, or one of the key's home servers.
+
+        A home server is preferred unless it is in slow start or costs much more than the server drawn.
+        """
         now = self.host.clock
-        homes = self._homes(servers, key)
-        # The share of servers in use is such that each connection carries enough attempts to stay open.
+        homes = self._home_servers(servers, key)
+        # The share of servers in use is chosen so that each connection carries enough attempts to stay open.
         interval = self.settings.idle_timeout / ATTEMPTS_PER_CONNECTION
-        used_share = max(LEAST_SERVERS, self.arrivals.count_since(now - interval)) / len(self.ready)
-        if any(s.connected() for s in servers) and self.router.chance() < self.connect_failures.mean():
+        used_share = max(MIN_SERVERS_USED, self.arrivals.count_since(now - interval)) / len(self.ready)
+        if any(s.connected() for s in servers) and self.router.next_random() < self.connect_failures.mean():
             servers = [s for s in servers if s.connected()]
         else:
             servers = servers[: ceil(used_share * len(servers)) + 1]
-        edges = list(accumulate(s.weight() for s in servers))
-        one = servers[bisect_left(edges, self.router.chance() * edges[-1])]
-        other = servers[bisect_left(edges, self.router.chance() * edges[-1])]
-        best = other if other.warm_at <= now and other.cost() < one.cost() else one
+        cumulative_weights = list(accumulate(s.weight() for s in servers))
+        first = servers[bisect_left(cumulative_weights, self.router.next_random() * cumulative_weights[-1])]
+        second = servers[bisect_left(cumulative_weights, self.router.next_random() * cumulative_weights[-1])]
+        best = second if second.warm_at <= now and second.cost() < first.cost() else first
         for home in homes:
-            if home.warm_at <= now and HOME_COST_SHARE * home.cost() <= best.cost():
+            if home.warm_at <= now and HOME_COST_FACTOR * home.cost() <= best.cost():
                 best = home
         return best
 
-    def _homes(self, servers: Sequence[Server], key: int) -> list[Server]:
-        """A key's home servers, the best last: by highest random weight, which all instances agree on."""
-        # Without load in answers no home ever looks crowded.
+    def _home_servers(self, servers: Sequence[Server], key: int) -> list[Server]:
+        """Return a key's home servers, the best last.
+
+        They are chosen by highest random weight (rendezvous hashing), so that all instances agree on them.
+        """
+        # Without load reports in answers, an overloaded home server could not be recognised.
         load_in_answers = self.settings.load_report_columns and not self.settings.load_reports_by_health_check
         if not (self.settings.key_affinity and load_in_answers and key):
             return []
-        if self.router.chance() < self.connect_failures.mean():
+        if self.router.next_random() < self.connect_failures.mean():
             return []
         prefix = b"%d." % key
         scores = []
         for server in servers:
-            hashed = crc32(prefix + server.address) * crc32(server.address + prefix) % 2**32
-            scores.append(log((hashed + 1) / 2**32) / max(LEAST_WEIGHT, server.weight()))
-        best = nlargest(HOME_SERVERS, range(len(scores)), key=scores.__getitem__)
-        return [servers[at] for at in reversed(best)]
+            hash_value = crc32(prefix + server.address) * crc32(server.address + prefix) % 2**32
+            scores.append(log((hash_value + 1) / 2**32) / max(MIN_WEIGHT, server.weight()))
+        best_indices = nlargest(HOME_SERVERS_PER_KEY, range(len(scores)), key=scores.__getitem__)
+        return [servers[index] for index in reversed(best_indices)]
 
-    # -- what attempts tell of connections and paths -----------------------------------------------------
+    # -- statistics on connections and paths -------------------------------------------------------------
 
-    def connection_tried(self, attempt: Attempt, outcome: AttemptOutcome, was_refused: bool) -> None:
-        """An attempt has ended; `was_refused`: its server refused the connection at once."""
+    def record_connection_outcome(self, attempt: Attempt, outcome: AttemptOutcome, was_refused: bool) -> None:
+        """Record how an attempt's connection went; `was_refused`: the server refused the connect at once."""
         if was_refused:
             attempt.server.disconnected_at = self.host.clock
         if attempt.opens_connection:
             self.connect_failures.add(1.0 if outcome is AttemptOutcome.CONNECT_FAILED else 0.0)
-            self.refused_connects += ((1.0 if was_refused else 0.0) - self.refused_connects) * LATEST_WEIGHT
-        self._close_spare_connections()
+            self.refused_connects += (
+                (1.0 if was_refused else 0.0) - self.refused_connects
+            ) * SMOOTHING_FACTOR
+        self._close_excess_connections()
         was_rejected = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED)
-        self.rejected_attempts += ((1.0 if was_rejected else 0.0) - self.rejected_attempts) * LATEST_WEIGHT
+        self.rejected_attempts += ((1.0 if was_rejected else 0.0) - self.rejected_attempts) * SMOOTHING_FACTOR
 
-    def _close_spare_connections(self) -> None:
-        """Close idle connections where servers refuse new ones.
+    def _close_excess_connections(self) -> None:
+        """Close idle connections when servers refuse connects.
 
-        A few instances' idle connections keep all others out.
+        Idle connections of a few instances would keep all other instances from connecting.
         """
-        if self.refused_connects <= REFUSED_CONNECTS:
+        if self.refused_connects <= REFUSED_CONNECT_THRESHOLD:
             return
         connected = sorted((s for s in self.ready if s.connected()), key=lambda s: -s.last_response_at)
-        kept = max(KEPT_CONNECTIONS, 2 * len(self.router.admission.in_flight))
+        kept = max(MIN_CONNECTIONS_KEPT, 2 * len(self.router.admission.in_flight))
         for server in [s for s in connected[kept:] if not s.attempts]:
             server.disconnected_at = self.host.clock
             self.host.close_idle_connections(server)
 
-    def path_measured(self, zone: int, outcome: AttemptOutcome, latency_ratio: float) -> None:
-        """An attempt over the path to a zone took so many times the usual; a lost one makes the path bad."""
-        least = 0.0 if outcome is AttemptOutcome.SERVED else BAD_PATH
-        self.zone_latency.setdefault(zone, DecayingMean()).add(max(least, latency_ratio))
+    def record_path_latency(self, zone: int, outcome: AttemptOutcome, latency_ratio: float) -> None:
+        """Record an attempt's latency over the path to a zone, as a multiple of the class's usual latency.
+
+        An attempt that was not served counts with at least `BAD_PATH_LATENCY_RATIO`.
+        """
+        min_ratio = 0.0 if outcome is AttemptOutcome.SERVED else BAD_PATH_LATENCY_RATIO
+        self.zone_latency.setdefault(zone, DecayingMean()).add(max(min_ratio, latency_ratio))
         self.best_zone_latency = min(z.mean() for z in self.zone_latency.values())
--- a/stepsail/decisions/server.py
+++ b/stepsail/decisions/server.py
@@ -1,7 +1,7 @@
-"""What is known of one server: its endpoint record, slow start, ejection, load and latency.
+"""The state of one server: its endpoint record, slow start, ejection, load and latency.
 
-A server is ejected for a while after failures in a row (outlier ejection); while it is ejected it gets one
-attempt at a time, and only where no other server may be chosen.
+A server is ejected for some time after consecutive failures (outlier ejection). While it is ejected it gets
+one attempt at a time, and only if no other server may be chosen.
 """
 
 from __future__ import annotations
@@ -18,15 +18,17 @@
     from stepsail.decisions.attempt import Attempt
     from stepsail.decisions.router import Router
 
-FIRST_EJECTION = 0.5  # s; also the least silence after which a server is taken for unresponsive
-EJECTING_FAILURES = 2  # in a row
-MOST_FAILURES = 4  # in a row, that lengthen the ejection
-LOAD_REPORT_TTL = 2.0  # s until a load report is stale
-SILENCE_FACTOR = 4.0  # times the usual latency without a word after which a server is taken for unresponsive
-CROSS_ZONE_WEIGHT = 1.5  # factor by which servers of other zones are drawn less often where crossing costs
-
-ANSWERS = (AttemptOutcome.SERVED, AttemptOutcome.FAILED, AttemptOutcome.REJECTED)
-FAILURES = (
+BASE_EJECTION_TIME = 0.5  # s; also the least time without a response before a server counts as unresponsive
+EJECTION_THRESHOLD = 2  # consecutive failures from which a server is ejected
+MAX_COUNTED_FAILURES = 4  # consecutive failures beyond which the ejection gets no longer
+LOAD_REPORT_TTL = 2.0  # s after which a load report is stale
+# Multiple of the usual latency for which a server may send no response before it counts as unresponsive.
+UNRESPONSIVE_LATENCY_MULTIPLE = 4.0
+# Factor by which servers of other zones are drawn less often if attempts across zones have a cost.
+CROSS_ZONE_WEIGHT_DIVISOR = 1.5
+
+RESPONSE_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.FAILED, AttemptOutcome.REJECTED)
+FAILURE_OUTCOMES = (
     AttemptOutcome.CONNECT_FAILED,
     AttemptOutcome.CONNECTION_LOST,
     AttemptOutcome.TIMED_OUT,
@@ -35,7 +37,7 @@
 
 
 class Server:
-    """One server of the endpoint list, as this instance knows it."""
+    """One server of the endpoint list, with the state that this instance knows."""
 
     def __init__(self, router: Router, address: bytes) -> None:
         self.router = router
@@ -47,26 +49,25 @@
         self.zone = 0
         self.cell = 0
         self.build = 0
-        self.list_number = 0  # of the endpoint list that it was last in
+        self.list_number = 0  # number of the last endpoint list that contained it
         self.started_at = 0.0
-        self.warm_at = 0.0  # when its slow start is over
+        self.warm_at = 0.0  # end of its slow start
         self.ejected_until = 0.0
-        self.failures = 0  # in a row
-        self.load = 0.0  # requests in flight at it by its last report
-        self.reported_queue = (
-            inf  # requests that wait at it by its last report; infinite where reports name none
-        )
-        self.attempts_at_report = 0  # this instance's attempts in flight when that report came
-        self.last_response_at = -inf  # its last answer or report
-        self.disconnected_at = -inf  # when a connect was refused, or idle connections were closed
+        self.failures = 0  # consecutive
+        self.load = 0.0  # requests in flight at the server, by its last load report
+        # Requests queued at the server, by its last load report; infinite if reports contain no queue length.
+        self.reported_queue = inf
+        self.attempts_at_report = 0  # this instance's attempts in flight when that report arrived
+        self.last_response_at = -inf  # time of its last answer or load report
+        self.disconnected_at = -inf  # when it last refused a connect, or its idle connections were closed
         self.attempts: list[Attempt] = []  # in flight
-        self.relative_latency = DecayingMean()  # as a multiple of the class's usual one
-        self.outcomes: HistogramsByClass = {}  # lately, while a build is on canary
+        self.relative_latency = DecayingMean()  # as a multiple of the usual latency of the class
+        self.outcomes: HistogramsByClass = {}  # recent ones, while a build is on canary
 
     def update_endpoint(
         self, zone: int, cell: int, build: int, state: int, started_at: float, size: float
     ) -> None:
-        """Take over an entry of the endpoint list; with another start or build it is another process."""
+        """Apply an entry of the endpoint list; another start time or build means another process."""
         if started_at != self.started_at or build != self.build:
             self.relative_latency = DecayingMean()
             self.failures = 0
@@ -82,64 +83,76 @@
         self.state = EndpointState(state) if known_state else EndpointState.GONE
         self.list_number = self.pool.list_number
 
-    # -- whether and how often it is chosen ---------------------------------------------------------------
+    # -- availability and selection weight ---------------------------------------------------------------
 
     def available(self) -> bool:
-        """Whether it is ready and not ejected."""
+        """Return whether the server is ready and not ejected."""
         return self.state is EndpointState.READY and self.ejected_until <= self.host.clock
 
-    def warmth(self) -> float:
-        """Share of its full capacity that it has in its slow start."""
+    def capacity_share(self) -> float:
+        """Return the share of its full capacity that the server has; below 1 only in slow start."""
         left = self.warm_at - self.host.clock
         if left <= 0:
             return 1.0
         settings = self.settings
         return 1 - (1 - settings.slow_start_floor) * min(1.0, left / settings.slow_start_duration)
 
-    def path_ratio(self) -> float:
-        """Latency of the path to its zone as a multiple of the best path's."""
+    def path_latency_ratio(self) -> float:
+        """Return the latency of the path to its zone as a multiple of the best path's latency."""
         zone_latency = self.pool.zone_latency
         best = self.pool.best_zone_latency or min((z.mean() for z in zone_latency.values()), default=1.0)
         return zone_latency[self.zone].mean() / best if self.zone in zone_latency else 1.0
 
     def weight(self) -> float:
-        """Weight in a random draw: by slow start and path; without a connection, by the chance to get one."""
-        connect_failure = 0.0 if self.connected() else self.pool.connect_failures.mean()
+        """Return the server's weight in a random draw.
+
+        It depends on the slow start, the path and the zone and, without an open connection, on the share of
+        connects that fail.
+        """
+        connect_failure_share = 0.0 if self.connected() else self.pool.connect_failures.mean()
         crosses_zone = self.settings.cross_zone_cost and self.zone != self.settings.zone
-        zone_divisor = CROSS_ZONE_WEIGHT if crosses_zone else 1.0
-        return self.warmth() * (1 - connect_failure) / self.path_ratio() ** 2 / zone_divisor
+        zone_divisor = CROSS_ZONE_WEIGHT_DIVISOR if crosses_zone else 1.0
+        return (
+            self.capacity_share()
+            * (1 - connect_failure_share)
+            / self.path_latency_ratio() ** 2
+            / zone_divisor
+        )
 
     def connected(self) -> bool:
-        """Whether a connection is open, as far as is known.
+        """Return whether a connection to the server is probably open.
 
-        It is if the server was heard from within the idle timeout and has not refused one since.
+        It is if the server has responded within the idle timeout, and since then has not refused a connect or
+        had its idle connections closed.
         """
         return self.last_response_at > max(self.disconnected_at, self.host.clock - self.settings.idle_timeout)
 
     def cost(self) -> float:
-        """Estimate of the latency of one more attempt, to compare servers by."""
+        """Return an estimate of the latency of one more attempt, for comparing servers."""
         in_flight = len(self.attempts)
         is_fresh = self.host.clock - self.last_response_at < LOAD_REPORT_TTL
-        reported = self.load + in_flight - self.attempts_at_report if is_fresh else 0.0
-        return (max(reported, in_flight) / self.warmth() + 1) * self.relative_latency.mean()
+        estimated_load = self.load + in_flight - self.attempts_at_report if is_fresh else 0.0
+        return (max(estimated_load, in_flight) / self.capacity_share() + 1) * self.relative_latency.mean()
 
     def unresponsive(self) -> bool:
-        """Whether it holds attempts and has been silent for much longer than usual.
+        """Return whether it has attempts in flight, but has sent no response for much longer than usual.
 
-        A slow class shows nothing.
+        Attempts of stalled classes and tenants are ignored, as their latency is not due to the server.
         """
         oldest = next((a for a in self.attempts if not a.request.stalled), None)
         if oldest is None:
             return False
         now = self.host.clock
-        patience = SILENCE_FACTOR * oldest.request.usual_latency.mean() * self.path_ratio()
-        silence = now - max(oldest.sent_at, self.last_response_at)
-        return self.ejected_until <= now and silence > max(FIRST_EJECTION, patience)
+        response_timeout = (
+            UNRESPONSIVE_LATENCY_MULTIPLE * oldest.request.usual_latency.mean() * self.path_latency_ratio()
+        )
+        time_since_response = now - max(oldest.sent_at, self.last_response_at)
+        return self.ejected_until <= now and time_since_response > max(BASE_EJECTION_TIME, response_timeout)
 
-    # -- what happens to it ------------------------------------------------------------------------------
+    # -- events ------------------------------------------------------------------------------------------
 
     def report_received(self, report: Sequence[float]) -> None:
-        """Take in a load report: its columns are those that the settings name."""
+        """Apply a load report with the columns that the settings name; ignore one of another length."""
         columns = self.settings.load_report_columns
         if len(report) != len(columns):
             return
@@ -155,35 +168,45 @@
                 self.last_response_at = self.host.clock
 
     def attempt_ended(
-        self, outcome: AttemptOutcome, latency_ratio: float, tells_latency: bool, is_excused: bool = False
+        self,
+        outcome: AttemptOutcome,
+        latency_ratio: float,
+        latency_is_valid: bool,
+        request_stalled: bool = False,
     ) -> None:
-        """Judge by the end of an attempt, whose latency was `latency_ratio` times the usual one.
-
-        `tells_latency`: the latency is the server's, neither its start's nor this process's. `is_excused`:
-        the class or tenant is stalled, so that neither latency nor failure is the server's.
+        """Update latency and failures at the end of an attempt.
+
+        Args:
+            outcome: How the attempt ended.
+            latency_ratio: Its latency as a multiple of the usual latency of its class.
+            latency_is_valid: Whether the latency is due to the server, rather than to the server's startup or
+                to a pause of this process.
+            request_stalled: Whether the request's class or tenant is stalled, so that neither latency nor
+                failure is due to the server.
         """
-        if outcome in ANSWERS:
+        if outcome in RESPONSE_OUTCOMES:
             self.last_response_at = self.host.clock
         if outcome is AttemptOutcome.SERVED:
             self.failures = 0
-            self.relative_latency.add(latency_ratio if tells_latency and not is_excused else 1.0)
-        elif outcome in FAILURES and not is_excused:
-            # A broken connection may have been the connection's fault alone; a failed connect is proof at
-            # once.
-            self.record_failures(EJECTING_FAILURES if outcome is AttemptOutcome.CONNECT_FAILED else 1)
+            self.relative_latency.add(latency_ratio if latency_is_valid and not request_stalled else 1.0)
+        elif outcome in FAILURE_OUTCOMES and not request_stalled:
+            # One lost connection doesn't eject the server, as the connection alone may be at fault; one
+            # failed connect does.
+            self.record_failures(EJECTION_THRESHOLD if outcome is AttemptOutcome.CONNECT_FAILED else 1)
 
     def record_failures(self, count: int) -> None:
-        """Count failures in a row.
+        """Count consecutive failures.
 
-        While they suffice to eject, each call ejects anew, for longer with more.
+        From `EJECTION_THRESHOLD` failures on, each call starts the ejection anew, for longer after more
+        failures.
         """
-        self.failures = min(MOST_FAILURES, self.failures + count)
-        if self.failures >= EJECTING_FAILURES:
-            doublings = self.failures // EJECTING_FAILURES - 1
-            self.ejected_until = self.host.clock + FIRST_EJECTION * 2**doublings
+        self.failures = min(MAX_COUNTED_FAILURES, self.failures + count)
+        if self.failures >= EJECTION_THRESHOLD:
+            doublings = self.failures // EJECTION_THRESHOLD - 1
+            self.ejected_until = self.host.clock + BASE_EJECTION_TIME * 2**doublings
 
     def discard_evidence(self) -> None:
-        """Forget outcomes and failures that were not this server's doing."""
+        """Discard outcomes and failures that the server did not cause, and end its ejection."""
         self.outcomes = {}
         self.failures = 0
         self.ejected_until = 0.0
@@ -191,9 +214,9 @@
     def health_check_finished(
         self, duration: float, outcome: AttemptOutcome, report: Sequence[float]
     ) -> None:
-        """A health check has ended; only its load report counts."""
+        """Handle the end of a health check; only its load report is used."""
         self.report_received(report)
 
     def answer_disputed(self, class_index: int, since: float) -> None:
-        """A client has called an answer of this server wrong."""
+        """Record that a client has reported an answer of this server as wrong."""
         self.router.observe(self, self.build, class_index, DISPUTED)
--- a/stepsail/decisions/voting.py
+++ b/stepsail/decisions/voting.py
@@ -71,7 +71,7 @@
                 verdict is Verdict.ROLL_BACK or settings.instance_index in router.gossip.judges
             )
             stand_by = STAND_BY if settings.promotion_control is PromotionControl.ANY_VOTE else 0.0
-            delay = stand_by + router.voting.spread * router.chance()
+            delay = stand_by + router.voting.spread * router.next_random()
             self.send_at = now if is_first else now + delay
 
     def cast_if_due(self, build: int, stage: int) -> None:
@@ -95,4 +95,4 @@
             pause = RENEWAL * router.settings.vote_ttl
         else:
             pause = RETRY_PAUSE + router.voting.spread
-        self.send_at = router.host.clock + pause * (0.75 + 0.25 * router.chance())
+        self.send_at = router.host.clock + pause * (0.75 + 0.25 * router.next_random())
--- a/stepsail/experiment/baselines.py
+++ b/stepsail/experiment/baselines.py
@@ -29,7 +29,7 @@
 
     def pick(self, servers: Sequence[Server], key: int = 0) -> Server:
         """One drawn uniformly."""
-        return servers[int(self.router.chance() * len(servers))]
+        return servers[int(self.router.next_random() * len(servers))]
 
 
 class TwoChoicesPool(ServerPool):
@@ -37,8 +37,8 @@
 
     def pick(self, servers: Sequence[Server], key: int = 0) -> Server:
         """The less busy of two drawn uniformly."""
-        one = servers[int(self.router.chance() * len(servers))]
-        other = servers[int(self.router.chance() * len(servers))]
+        one = servers[int(self.router.next_random() * len(servers))]
+        other = servers[int(self.router.next_random() * len(servers))]
         return other if len(other.attempts) < len(one.attempts) else one
 
 
