--- a/stepsail/cli/serve.py
+++ b/stepsail/cli/serve.py
@@ -26,7 +26,7 @@
     if not clock:
         return PollDriver()
     try:
-        return SkewedDriver(Skew.read(clock))
+        return SkewedDriver(Skew.parse(clock))
     except ValueError as error:
         raise click.BadParameter(str(error), param_hint="--clock") from None
 
--- a/stepsail/loop/__init__.py
+++ b/stepsail/loop/__init__.py
@@ -1,7 +1,7 @@
-"""Greenlet tasks over a driver that supplies clock, readiness and streams; the first is `select.poll`.
+"""Cooperative tasks on greenlets, over a driver that supplies the clock, readiness and sockets.
 
-`scheduler` runs `tasks`; `stream` and `sync` are what tasks use to wait; `driver` says what is below, `poll` is the
-driver of real sockets, and the one of virtual time is in `stepsail.simulation`.
+`scheduler` runs the `tasks`. Tasks wait by means of `stream` and `sync`. `driver` defines the interface of a
+driver: `poll` implements it with real sockets and `select.poll`, `stepsail.simulation` in virtual time.
 """
 
 from stepsail.loop.errors import Cancelled, CleanupExpired, Closed, LoopError, TimedOut
--- a/stepsail/loop/driver.py
+++ b/stepsail/loop/driver.py
@@ -1,4 +1,7 @@
-"""What a loop asks of the world below it. Nothing above the loop may notice which driver it runs on."""
+"""The interface that the loop needs from its platform: clock, sockets and readiness.
+
+Code that runs on the loop must not be able to detect which driver is in use.
+"""
 
 from __future__ import annotations
 
@@ -7,101 +10,114 @@
 
 from stepsail.loop.waiting import Wakeable
 
-READ = 1  # direction of a wait: bytes, a connection, the end or an error
-WRITE = 2  # direction of a wait: room for bytes, or the end of connecting
+READ = 1  # direction of a wait that ends when bytes, a connection, the end of the stream or an error arrive
+WRITE = 2  # direction of a wait that ends when the send buffer has room or a connect has completed
 Address = tuple[str, int]
 
 
 class Port(Protocol):
-    """One non-blocking end. Calls return None where they would have to wait; errors are OSError."""
+    """A non-blocking socket. Calls return None where they would block; errors are OSError."""
 
     closed: bool
 
     def accept(self) -> tuple[Port, Address] | None:
-        """The next connection of a listening port, and its far end."""
+        """Return the next connection of a listening port and the address of its peer."""
 
     def stop_handshakes(self) -> None:
-        """Refuse new connections on a listening port; those being made can still be accepted.
+        """Refuse new connections on a listening port; those whose handshake has begun can still be accepted.
 
-        Raises OSError where the system cannot.
+        Raises:
+            OSError: The system does not support this.
         """
 
-    def recv(self, most: int) -> bytes | None:
-        """Some bytes; none at the end of the stream."""
+    def recv(self, max_bytes: int) -> bytes | None:
+        """Return received bytes, or b"" at the end of the stream."""
 
     def send(self, data: bytes | memoryview) -> int | None:
-        """How many of the bytes the system took."""
+        """Send bytes and return how many of them the system accepted."""
 
-    def recvfrom(self, most: int) -> tuple[bytes, Address] | None:
-        """A datagram and its sender."""
+    def recvfrom(self, max_bytes: int) -> tuple[bytes, Address] | None:
+        """Return a datagram and its sender's address."""
 
     def sendto(self, data: bytes, to: Address) -> int | None:
-        """Send a datagram."""
+        """Send a datagram and return its size."""
 
-    def connected(self) -> None:
-        """Raise what became of a connect, once the port is writable."""
+    def raise_connect_error(self) -> None:
+        """Raise OSError if the connect failed; to be called once the port is writable."""
 
     def half_close(self) -> None:
-        """Send the end of the stream; reading goes on."""
+        """Shut down the sending direction; the port can still receive."""
 
     def abort(self) -> None:
-        """Close so that the other end sees a reset."""
+        """Make the following close send a reset to the peer."""
 
-    def name(self) -> Address:
-        """The address of this end."""
+    def local_address(self) -> Address:
+        """Return the address that the port is bound to."""
 
     def seconds_since_receive(self) -> float:
-        """Seconds since the last bytes arrived here, read or not: what a pause of this process hides."""
+        """Return the seconds since the last bytes arrived on the host, read or not.
+
+        Unlike the time of the read, this includes the time during which this process was paused.
+        """
 
 
 class Driver(Protocol):
-    """Clock in seconds, readiness, and the making of ports."""
+    """Provides the clock, waits for readiness, and creates ports."""
 
     def now(self) -> float:
-        """The monotonic clock."""
+        """Return the monotonic clock, in seconds."""
 
     def wall_clock(self) -> float:
-        """Seconds since 1970 as the system has them: may jump either way, and serves to tell starts apart only."""
+        """Return the system's time in seconds since 1970.
+
+        It may jump forwards or backwards, so it is only used to distinguish starts of the process.
+        """
 
     def poll(self, timeout: float | None) -> None:
-        """Wait until a port is ready or the time is over, and wake the waiters of ready ports."""
+        """Wait until a port is ready or the timeout expires, then wake the waiters of all ready ports."""
 
     def add_waiter(self, port: Port, direction: int, waiter: Wakeable) -> None:
-        """Wake a waiter when a port is ready. One a port and direction; a second one is an error of the caller."""
+        """Register a waiter to be woken when the port is ready.
+
+        A port has at most one waiter per direction; registering a second one is a bug in the caller.
+        """
 
     def remove_waiter(self, port: Port, direction: int, waiter: Wakeable) -> None:
-        """Forget a waiter, if it still waits."""
+        """Remove a waiter if it is still registered."""
 
     def readable(self, port: Port) -> bool:
-        """Whether a read, or an accept, would give something now: bytes, a connection, the end or an error."""
+        """Return whether a read or an accept would return without blocking.
+
+        That is so if bytes, a connection, the end of the stream or an error are pending.
+        """
 
     def peer_closed(self, port: Port) -> bool:
-        """Whether the far end has closed or is gone, also where bytes of before lie unread."""
+        """Return whether the peer has closed its end or is gone, even if earlier bytes are still unread."""
 
     def close(self, port: Port) -> None:
-        """Close a port and wake whoever waits on it; its number may be used again at once."""
+        """Close a port and raise Closed in the tasks that wait on it; its number may be reused at once."""
 
     def listen(self, address: Address, backlog: int) -> Port:
-        """A port that accepts connections."""
+        """Create a port that accepts connections."""
 
     def connect(self, address: Address, source: Address | None = None) -> Port:
-        """Begin to connect; the port turns writable when it is decided."""
+        """Begin to connect; the port becomes writable when the connect has succeeded or failed."""
 
     def datagrams(self, address: Address) -> Port:
-        """A port for datagrams."""
+        """Create a port that sends and receives datagrams."""
 
-    def on_signal(self, number: int, call: Callable[[], object]) -> None:
-        """Make a call, between rounds of the loop, at each signal of a number."""
+    def on_signal(self, number: int, callback: Callable[[], object]) -> None:
+        """Run a callback, between rounds of the loop, each time the signal arrives."""
 
-    def call_threadsafe(self, call: Callable[[], object]) -> None:
-        """Run a call on the loop, between its rounds; the one thing another thread may ask."""
+    def call_threadsafe(self, callback: Callable[[], object]) -> None:
+        """Run a callback between rounds of the loop; the only method that other threads may call."""
 
-    def run_blocking(self, call: Callable[[], object]) -> None:
-        """Run a call that may block, such as a write to a disk, on a thread where it holds up no task.
+    def run_blocking(self, function: Callable[[], object]) -> None:
+        """Run a function that may block, such as a write to disk, on a thread where it delays no task.
 
-        Calls run one after another, in order. Such a call must not fail, touches nothing of the loop's, and reports
-        what came of it by `post`.
+        Functions run one at a time, in call order. Such a function must not raise and must not use the loop
+        or its objects; it reports its result by `call_threadsafe`.
         """
 
     def shutdown(self) -> None:
-        """Close what is open and give signals back to their defaults."""
+        """Close everything that is open and restore the default signal handlers."""
--- a/stepsail/loop/errors.py
+++ b/stepsail/loop/errors.py
@@ -1,17 +1,17 @@
-"""What a wait may raise."""
+"""Exceptions that a wait on the loop may raise."""
 
 from __future__ import annotations
 
 
 class LoopError(Exception):
-    """Base class of what the loop itself raises."""
+    """Base class of the errors that the loop itself raises."""
 
 
 class TimedOut(LoopError):
-    """A wait outlived its bound.
+    """A wait did not end before its timeout.
 
     Attributes:
-        scope: the `Timeout` block that ran out, or None where the call's own bound did.
+        scope: The `Timeout` block that expired, or None if the call's own timeout did.
     """
 
     def __init__(self, scope: object = None) -> None:
@@ -20,15 +20,15 @@
 
 
 class Closed(LoopError):
-    """The descriptor or channel was closed, here or by another task, while it was wanted."""
+    """The port or channel was already closed, or was closed during the wait, by this task or another."""
 
 
 class Cancelled(BaseException):
     """Raised once inside a cancelled task, at its next wait.
 
-    It is no `Exception`, so that a handler of ordinary errors does not swallow it.
+    It does not derive from `Exception`, so that a handler for ordinary errors does not swallow it.
     """
 
 
 class CleanupExpired(Cancelled):
-    """A cancelled task still waited in its clean-up when the time for that was over."""
+    """Raised inside a cancelled task that is still waiting in its cleanup after CLEANUP_SECONDS."""
--- a/stepsail/loop/poll.py
+++ b/stepsail/loop/poll.py
@@ -1,4 +1,4 @@
-"""The driver of real sockets: `select.poll`, the monotonic clock, signals by a wake-up descriptor."""
+"""The driver for real sockets: it uses `select.poll`, the monotonic clock and a wakeup pipe for signals."""
 
 from __future__ import annotations
 
@@ -19,56 +19,62 @@
 from stepsail.loop.socket_port import OUT_OF_MEMORY, WOULD_BLOCK, SocketPort
 from stepsail.loop.waiting import Wakeable
 
-EVENTS = {READ: select.POLLIN | select.POLLPRI, WRITE: select.POLLOUT}
-ENDED = select.POLLHUP | select.POLLERR | select.POLLNVAL  # wakes readers, who first get the unread data
-POLL_RETRY_PAUSE = 0.005  # s after a poll that failed; without it the loop spins
+POLL_EVENTS = {READ: select.POLLIN | select.POLLPRI, WRITE: select.POLLOUT}
+# These events wake every waiter; a reader gets the unread data first.
+HANGUP_EVENTS = select.POLLHUP | select.POLLERR | select.POLLNVAL
+POLL_RETRY_PAUSE = 0.005  # s to wait after a poll that failed; without it the loop would spin
 
 
 class PollDriver:
-    """Bounds: one registration per open socket; at most one waiter per socket and direction."""
+    """Drives a loop with real sockets.
+
+    Bounds: at most one poller registration per open socket, and one waiter per socket and direction.
+    """
 
     def __init__(self) -> None:
         self.poller = select.poll()
-        self.ports: dict[int, SocketPort] = {}  # those registered with the poller, by descriptor
-        self.signal_calls: dict[int, Callable[[], object]] = {}
-        # A pipe and no pair of sockets: a platform may know no other sockets than IPv4's.
-        self.wake_out, self.wake_in = os.pipe()
-        os.set_blocking(self.wake_in, False)
-        os.set_blocking(self.wake_out, False)
-        self.poller.register(self.wake_out, select.POLLIN)
+        self.ports: dict[int, SocketPort] = {}  # ports registered with the poller, by descriptor
+        self.signal_callbacks: dict[int, Callable[[], object]] = {}
+        # A pipe rather than a socket pair, as a platform may support no sockets other than IPv4.
+        self.wakeup_read_fd, self.wakeup_write_fd = os.pipe()
+        os.set_blocking(self.wakeup_write_fd, False)
+        os.set_blocking(self.wakeup_read_fd, False)
+        self.poller.register(self.wakeup_read_fd, select.POLLIN)
         self.previous_wakeup_fd: int | None = None
-        self.posted: deque[Callable[[], object]] = deque()
-        self.blocking_calls: queue.SimpleQueue[Callable[[], object] | None] | None = None
+        self.posted_callbacks: deque[Callable[[], object]] = deque()
+        self.blocking_functions: queue.SimpleQueue[Callable[[], object] | None] | None = None
 
     now = staticmethod(time.monotonic)
     wall_clock = staticmethod(time.time)
 
     def poll(self, timeout: float | None) -> None:
-        """Wait until a port is ready or the time is over, and wake the waiters of ready ports."""
-        # Rounded up: a wait that ends a fraction early would spin until the timer is due.
-        for fd, ready in self._polled(None if timeout is None else -(-timeout * 1000 // 1)):
-            if fd == self.wake_out:
-                self._run_posted()
+        """Wait until a port is ready or the timeout expires, then wake the waiters of all ready ports."""
+        # Rounded up to whole milliseconds: after a poll that ends a fraction early, the loop would spin until
+        # the timer is due.
+        for fd, revents in self._poll_ready(None if timeout is None else -(-timeout * 1000 // 1)):
+            if fd == self.wakeup_read_fd:
+                self._run_posted_callbacks()
                 continue
             port = self.ports.get(fd)
             if port is None:
                 continue
-            if ready & select.POLLNVAL:
+            if revents & select.POLLNVAL:
                 self.close(cast(Port, port))
                 continue
             waiters = port.waiters
             woken = False
             for direction in tuple(waiters):
-                if ready & (EVENTS[direction] | ENDED):
+                if revents & (POLL_EVENTS[direction] | HANGUP_EVENTS):
                     woken = waiters.pop(direction).wake(direction)
             if not woken:
-                # Nobody waits for this: taken out, or a hung-up peer would end every poll at once. A port that
-                # somebody waits on stays in, as it is mostly waited on again: taking ports in and out makes the
-                # system's table anew for each poll.
+                # No task waits for this event. Unless the registration is updated, a peer that has hung up
+                # would end every poll at once. After a wake-up the port stays registered, as the same wait
+                # usually follows: each change of a registration makes `select.poll` rebuild its table for the
+                # next poll.
                 self._register(port)
 
-    def _polled(self, milliseconds: float | None) -> list[tuple[int, int]]:
-        """What is ready; nothing where the system could not tell for want of memory."""
+    def _poll_ready(self, milliseconds: float | None) -> list[tuple[int, int]]:
+        """Return the ready descriptors and their events; none if poll was interrupted or out of memory."""
         try:
             return self.poller.poll(milliseconds)
         except OSError as error:
@@ -77,38 +83,46 @@
             time.sleep(POLL_RETRY_PAUSE)
             return []
 
-    def _run_posted(self) -> None:
+    def _run_posted_callbacks(self) -> None:
         with contextlib.suppress(OSError):
-            while numbers := os.read(self.wake_out, 64):
+            while numbers := os.read(self.wakeup_read_fd, 64):
                 for number in numbers:
-                    if number in self.signal_calls:
-                        self.signal_calls[number]()
-        while self.posted:
-            self.posted.popleft()()
-
-    def call_threadsafe(self, call: Callable[[], object]) -> None:
-        """Run a call between rounds of the loop; from any thread. Bounded by what its callers have out."""
-        self.posted.append(call)
-        with contextlib.suppress(BlockingIOError, OSError):  # full: it will wake anyway
-            os.write(self.wake_in, b"\0")
-
-    def run_blocking(self, call: Callable[[], object]) -> None:
-        """By a thread that starts with the first call. Bounded by what its callers have out."""
-        if self.blocking_calls is None:
-            self.blocking_calls = queue.SimpleQueue()
-            calls = (self.blocking_calls,)
-            thread = threading.Thread(target=self._run_blocking_calls, args=calls, name="aside", daemon=True)
+                    if number in self.signal_callbacks:
+                        self.signal_callbacks[number]()
+        while self.posted_callbacks:
+            self.posted_callbacks.popleft()()
+
+    def call_threadsafe(self, callback: Callable[[], object]) -> None:
+        """Run a callback between rounds of the loop; may be called from any thread.
+
+        The queue has no bound of its own: callers limit how many callbacks they have outstanding.
+        """
+        self.posted_callbacks.append(callback)
+        with contextlib.suppress(BlockingIOError, OSError):  # a full pipe wakes the loop anyway
+            os.write(self.wakeup_write_fd, b"\0")
+
+    def run_blocking(self, function: Callable[[], object]) -> None:
+        """Run a function that may block, on a thread that is started at the first call.
+
+        The queue has no bound of its own: callers limit how many functions they have outstanding.
+        """
+        if self.blocking_functions is None:
+            self.blocking_functions = queue.SimpleQueue()
+            thread_args = (self.blocking_functions,)
+            thread = threading.Thread(
+                target=self._run_blocking_functions, args=thread_args, name="aside", daemon=True
+            )
             thread.start()
-        self.blocking_calls.put(call)
+        self.blocking_functions.put(function)
 
     @staticmethod
-    def _run_blocking_calls(calls: queue.SimpleQueue[Callable[[], object] | None]) -> None:
-        while call := calls.get():
-            call()
+    def _run_blocking_functions(functions: queue.SimpleQueue[Callable[[], object] | None]) -> None:
+        while function := functions.get():
+            function()
 
     def _register(self, port: SocketPort) -> None:
-        """Tell the poller which events of a port somebody waits for."""
-        mask = sum(EVENTS[d] for d in port.waiters)
+        """Register the port for the directions that have a waiter, or unregister it if none has."""
+        mask = sum(POLL_EVENTS[d] for d in port.waiters)
         if mask == port.mask:
             return
         if not mask:
@@ -120,30 +134,33 @@
         port.mask = mask
 
     def add_waiter(self, port: Port, direction: int, waiter: Wakeable) -> None:
-        """Wake a waiter when a port is ready."""
+        """Register a waiter to be woken when the port is ready."""
         assert isinstance(port, SocketPort)
         port.add_waiter(direction, waiter)
-        if not port.mask & EVENTS[direction]:
+        if not port.mask & POLL_EVENTS[direction]:
             self._register(port)
 
     def remove_waiter(self, port: Port, direction: int, waiter: Wakeable) -> None:
-        """Forget a waiter; the port stays registered until a poll finds that nobody waits on it."""
+        """Remove a waiter.
+
+        The port stays registered with the poller until a poll reports an event that no waiter is waiting for.
+        """
         assert isinstance(port, SocketPort)
         if not port.closed and port.waiters.get(direction) is waiter:
             del port.waiters[direction]
 
     def readable(self, port: Port) -> bool:
-        """Whether a read or an accept would give something now, or the system cannot tell."""
-        # Where the system cannot tell it may hold bytes, and nothing that may is closed unread.
-        return self._has_event(port, EVENTS[READ] | ENDED, unknown=True)
+        """Return whether a read or an accept would return without blocking; True if the poll fails."""
+        # If the poll fails, unread bytes may be pending, and a port must not be closed over unread bytes.
+        return self._has_event(port, POLL_EVENTS[READ] | HANGUP_EVENTS, on_poll_error=True)
 
     def peer_closed(self, port: Port) -> bool:
-        """Whether the far end has closed, also behind bytes that lie unread."""
-        return self._has_event(port, ENDED | select.POLLRDHUP, unknown=False)
+        """Return whether the peer has closed its end, even if earlier bytes are still unread."""
+        return self._has_event(port, HANGUP_EVENTS | select.POLLRDHUP, on_poll_error=False)
 
     @staticmethod
-    def _has_event(port: Port, mask: int, unknown: bool) -> bool:
-        """Whether one of these events is here; `unknown` where the system could not tell."""
+    def _has_event(port: Port, mask: int, on_poll_error: bool) -> bool:
+        """Return whether one of the events in the mask is pending, or `on_poll_error` if the poll fails."""
         assert isinstance(port, SocketPort)
         if port.closed:
             return True
@@ -152,23 +169,23 @@
         try:
             return bool(poller.poll(0))
         except OSError:
-            return unknown
+            return on_poll_error
 
     def close(self, port: Port) -> None:
-        """Close a port and wake whoever waits on it."""
+        """Close a port and raise Closed in the tasks that wait on it."""
         assert isinstance(port, SocketPort)
         if port.closed:
             return
         port.closed = True
-        if port.mask:  # before the number can be used again by whatever opens next
+        if port.mask:  # before the next open can reuse the descriptor's number
             self.poller.unregister(port.fd)
             self.ports.pop(port.fd, None)
-        with contextlib.suppress(OSError):  # the descriptor is gone all the same (close(2))
+        with contextlib.suppress(OSError):  # the descriptor is closed even if close fails (close(2))
             port.sock.close()
         port.fail_waiters()
 
     def listen(self, address: Address, backlog: int) -> Port:
-        """A port that accepts connections. Raises OSError."""
+        """Create a port that accepts connections. Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -180,7 +197,7 @@
         return SocketPort(sock)
 
     def connect(self, address: Address, source: Address | None = None) -> Port:
-        """Begin to connect; the port turns writable when it is decided. Raises OSError."""
+        """Begin to connect; the port becomes writable when that has succeeded or failed. Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         port = SocketPort(sock)
         try:
@@ -192,13 +209,13 @@
         except OSError:
             sock.close()
             raise
-        if code not in (0, errno.EINPROGRESS, errno.EINTR):  # interrupted, it goes on (connect(2))
+        if code not in (0, errno.EINPROGRESS, errno.EINTR):  # an interrupted connect continues (connect(2))
             sock.close()
             raise OSError(code, os.strerror(code))
         return port
 
     def datagrams(self, address: Address) -> Port:
-        """A port for datagrams. Raises OSError."""
+        """Create a port that sends and receives datagrams. Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             sock.bind(address)
@@ -207,24 +224,24 @@
             raise
         return SocketPort(sock)
 
-    def on_signal(self, number: int, call: Callable[[], object]) -> None:
-        """Make a call between rounds of the loop at each signal of a number."""
+    def on_signal(self, number: int, callback: Callable[[], object]) -> None:
+        """Run a callback, between rounds of the loop, each time the signal arrives."""
         if self.previous_wakeup_fd is None:
-            self.previous_wakeup_fd = signal.set_wakeup_fd(self.wake_in, warn_on_full_buffer=False)
-        self.signal_calls[number] = call
-        signal.signal(number, lambda *_: None)  # the byte on the wake-up descriptor does the work
+            self.previous_wakeup_fd = signal.set_wakeup_fd(self.wakeup_write_fd, warn_on_full_buffer=False)
+        self.signal_callbacks[number] = callback
+        signal.signal(number, lambda *_: None)  # the signal's number in the wakeup pipe runs the callback
 
     def shutdown(self) -> None:
-        """Close what is open and give signals back to their defaults."""
+        """Close everything that is open and restore the default signal handlers."""
         if self.previous_wakeup_fd is not None:
             signal.set_wakeup_fd(self.previous_wakeup_fd)
-            for number in self.signal_calls:
+            for number in self.signal_callbacks:
                 signal.signal(number, signal.SIG_DFL)
         for port in list(self.ports.values()):
             self.close(cast(Port, port))
-        if self.blocking_calls is not None:
-            self.blocking_calls.put(None)
-        # A late `post` of another thread must not write to whatever has the descriptor by then.
-        ends, self.wake_in, self.wake_out = (self.wake_in, self.wake_out), -1, -1
-        for end in ends:
-            os.close(end)
+        if self.blocking_functions is not None:
+            self.blocking_functions.put(None)
+        # A late `call_threadsafe` of another thread must not write to a file that reuses the descriptor.
+        fds, self.wakeup_write_fd, self.wakeup_read_fd = (self.wakeup_write_fd, self.wakeup_read_fd), -1, -1
+        for fd in fds:
+            os.close(fd)
--- a/stepsail/loop/scheduler.py
+++ b/stepsail/loop/scheduler.py
@@ -1,4 +1,4 @@
-"""The loop: runs tasks in rounds over a driver that supplies the clock and the readiness of ports."""
+"""The event loop: runs tasks in rounds, over a driver that supplies the clock and the readiness of ports."""
 
 from __future__ import annotations
 
@@ -15,104 +15,112 @@
 from stepsail.loop.tasks import Task, Timeout, Waiter
 from stepsail.loop.timers import Timer, Timers
 
-MAX_UNWAITED = 16  # operations in a row that did not have to wait, after which a task lets others run
-SLOW_TURN = 0.1  # s that one turn may last before it is reported
-MAX_TASKS = 100_000  # live tasks; a spawn beyond is refused with an error to the caller
+MAX_OPS_WITHOUT_WAIT = 16  # consecutive operations without a wait, after which a task yields to the others
+SLOW_TURN = 0.1  # s; a turn of a task, or a timer, that takes longer is reported
+MAX_TASKS = 100_000  # live tasks; beyond that, `spawn` raises an error
 
 
 class Loop:
-    """Runs tasks in rounds: those that are ready, then timers, then whatever the driver finds ready.
+    """Runs tasks in rounds: a round runs the ready tasks and the due timers, then polls the driver.
 
-    A round holds only what was ready when it began, so a task that always has data cannot keep out the others, nor
-    the timers. `report` gets every irregularity as an event name and fields.
+    In a turn, a task runs until its next wait. A round gives one turn to each task that was ready when the
+    round began, so a task that always has data cannot starve the other tasks or the timers. `report` is
+    called with an event name and fields for every irregularity, such as a task that failed or was slow.
     """
 
     def __init__(self, driver: Driver, report: Callable[..., object] | None = None) -> None:
         self.driver = driver
         self.now = driver.now
-        self.home = getcurrent()
-        self.turns: deque[tuple[Task, Any, BaseException | None]] = deque()
+        self.scheduler_greenlet = getcurrent()
+        self.run_queue: deque[tuple[Task, Any, BaseException | None]] = deque()
         self.timers = Timers()
-        self.tasks: dict[Task, None] = {}  # in the order they were spawned
+        self.tasks: dict[Task, None] = {}  # in the order in which they were spawned
         self.running: Task | None = None
         self.fatal: BaseException | None = None  # the error of an essential task
         self.report = report or _print_report
         self.rounds = 0
-        self.polled_at = driver.now()  # end of the last look at the ports
-        self.previous_round = 0.0  # s of turns before that look
+        self.polled_at = driver.now()  # when the last poll ended and this round began
+        self.previous_round_seconds = 0.0  # duration of the previous round, up to its poll
 
     # -- tasks -------------------------------------------------------------------------------------------
 
-    def spawn(self, call: Callable[..., Any], *args: Any, name: str = "", essential: bool = False) -> Task:
-        """Begin a task at the next round. The error of an essential one ends `run` with that error.
+    def spawn(
+        self, function: Callable[..., Any], *args: Any, name: str = "", essential: bool = False
+    ) -> Task:
+        """Start a task in the next round; if an essential task fails, `run` stops and raises its error.
 
         Raises:
-            LoopError: MAX_TASKS are live already.
+            LoopError: There are MAX_TASKS live tasks already.
         """
         if len(self.tasks) >= MAX_TASKS:
-            raise LoopError(f"{MAX_TASKS} tasks run already")
-        task = Task(self, name or getattr(call, "__qualname__", "task"), call, args, essential)
+            raise LoopError(f"cannot spawn a task: {MAX_TASKS} are running already")
+        task = Task(self, name or getattr(function, "__qualname__", "task"), function, args, essential)
         self.tasks[task] = None
-        self.turns.append((task, None, None))
+        self.run_queue.append((task, None, None))
         return task
 
     def current(self) -> Task:
-        """The task that runs.
+        """Return the running task.
 
         Raises:
-            RuntimeError: none does; a timer or a driver's call cannot wait.
+            RuntimeError: No task is running. Callbacks of timers and of the driver run outside of tasks and
+                cannot wait.
         """
         if self.running is None:
-            raise RuntimeError("only a task can wait; a timer or a driver's call cannot")
+            raise RuntimeError("only a task can wait; a callback of a timer or of the driver cannot")
         return self.running
 
-    def run(self, call: Callable[..., Any], *args: Any, name: str = "main") -> Any:
-        """Run a task to its end, cancel whatever is left, and return its result or raise its error."""
-        first = self.spawn(call, *args, name=name)
-        first.joiners.append(Waiter(first))  # its error is raised here, not reported
-        self._run_until(lambda: first.done or self.fatal is not None)
+    def run(self, function: Callable[..., Any], *args: Any, name: str = "main") -> Any:
+        """Run a function as the main task, and return its result or raise its error.
+
+        Once it has ended, or an essential task has failed, the remaining tasks are cancelled.
+        """
+        main_task = self.spawn(function, *args, name=name)
+        # A task with a joiner does not report its error, which is raised below instead.
+        main_task.joiners.append(Waiter(main_task))
+        self._run_until(lambda: main_task.done or self.fatal is not None)
         for task in tuple(self.tasks):
             task.cancel()
         self._run_until(lambda: not self.tasks)
         if self.fatal:
             raise self.fatal
-        if first.error:
-            raise first.error
-        return first.result
+        if main_task.error:
+            raise main_task.error
+        return main_task.result
 
-    def _run_until(self, over: Callable[[], bool]) -> None:
-        turns, timers, now = self.turns, self.timers, self.now
-        while not over():
+    def _run_until(self, condition: Callable[[], bool]) -> None:
+        run_queue, timers, now = self.run_queue, self.timers, self.now
+        while not condition():
             self.rounds += 1
             clock = self._run_ready()
             if timers.heap and timers.heap[0][0] <= clock:
-                for call in timers.due(clock):
-                    self._call(call)
-            if over():
+                for callback in timers.pop_due(clock):
+                    self._run_callback(callback)
+            if condition():
                 return
-            self.previous_round = now() - self.polled_at
-            if turns:
+            self.previous_round_seconds = now() - self.polled_at
+            if run_queue:
                 self.driver.poll(0.0)
                 continue
-            due = timers.next_at()
-            self.driver.poll(None if due is None else max(0.0, due - now()))
+            next_due = timers.next_due_time()
+            self.driver.poll(None if next_due is None else max(0.0, next_due - now()))
 
     def _run_ready(self) -> float:
-        """Give each task that was ready a turn; the time after the last one."""
-        turns, now = self.turns, self.now
-        # One reading of the clock ends one turn and begins the next.
+        """Run one turn of each task that is ready; return the time at which the last turn ended."""
+        run_queue, now = self.run_queue, self.now
+        # One reading of the clock serves as the end of a turn and the start of the next one.
         clock = self.polled_at = now()
-        for _ in range(len(turns)):
-            task, value, error = turns.popleft()
-            running = task.greenlet
-            if running is None:
+        for _ in range(len(run_queue)):
+            task, value, error = run_queue.popleft()
+            task_greenlet = task.greenlet
+            if task_greenlet is None:
                 continue
-            task.unwaited = 0
+            task.ops_without_wait = 0
             self.running = task
             if error is not None:
-                running.throw(error)
+                task_greenlet.throw(error)
             else:
-                running.switch(value)
+                task_greenlet.switch(value)
             before = clock
             clock = now()
             if clock - before > SLOW_TURN:
@@ -120,21 +128,21 @@
         self.running = None
         return clock
 
-    def _call(self, call: Callable[[], object]) -> None:
+    def _run_callback(self, callback: Callable[[], object]) -> None:
         start = self.now()
         try:
-            call()
+            callback()
         except Exception as error:
             self.report("timer_failed", error=repr(error), trace=traceback.format_exc())
-        took = self.now() - start
-        if took > SLOW_TURN:
-            self._report_slow(getattr(call, "__qualname__", "timer"), took)
+        elapsed = self.now() - start
+        if elapsed > SLOW_TURN:
+            self._report_slow(getattr(callback, "__qualname__", "timer"), elapsed)
 
     def _report_slow(self, name: str, seconds: float) -> None:
         self.report("task_slow", task=name, seconds=round(seconds, 3))
 
     def task_failed(self, task: Task, error: BaseException) -> None:
-        """Take note of a task that ended with an error."""
+        """Stop the loop if the failed task is essential; else report its error, unless it has a joiner."""
         if task.essential:
             self.fatal = error
         elif not task.joiners:
@@ -142,29 +150,32 @@
             self.report("task_failed", task=task.name, error=repr(error), trace=trace)
 
     def list_tasks(self) -> list[tuple[str, str]]:
-        """Each task's name and what it waits for, by name."""
+        """Return each task's name and what it waits for, sorted by name."""
         return sorted((t.name, t.wait_reason if t.current_wait else "its turn") for t in self.tasks)
 
     # -- waits -------------------------------------------------------------------------------------------
 
     def waiter(self) -> Waiter:
-        """A wait of the task that runs, to be handed to whoever will end it, and then to `park`."""
+        """Create a waiter for the running task.
+
+        Pass it to the code that will end the wait, then to `park`.
+        """
         return Waiter(self.current())
 
-    def park(self, waiter: Waiter, why: str, within: float | None = None) -> Any:
-        """Wait until the waiter is woken, and return what it was woken with.
+    def park(self, waiter: Waiter, reason: str, timeout: float | None = None) -> Any:
+        """Suspend the running task until the waiter is woken, and return the value passed to `wake`.
 
         Raises:
-            TimedOut: `within` seconds, or an enclosing `timeout`, are over.
-            Cancelled: the task was cancelled.
+            TimedOut: The wait took longer than `timeout` seconds, or an enclosing `Timeout` block expired.
+            Cancelled: The task was cancelled.
         """
         task = waiter.task
         self._raise_pending(task, waiter)
-        timer = None if within is None else self.call_later(within, lambda: waiter.throw(TimedOut()))
+        timer = None if timeout is None else self.call_later(timeout, lambda: waiter.throw(TimedOut()))
         task.current_wait = waiter
-        task.wait_reason = why
+        task.wait_reason = reason
         try:
-            return self.home.switch()
+            return self.scheduler_greenlet.switch()
         finally:
             task.current_wait = None
             if timer:
@@ -172,7 +183,7 @@
 
     @staticmethod
     def _raise_pending(task: Task, waiter: Waiter) -> None:
-        """Raise a cancellation or an expired timeout that came while the task did not wait."""
+        """Raise a cancellation or an expired timeout that occurred while the task was not waiting."""
         if task.cancel_pending:
             task.cancel_pending = False
             waiter.done = True
@@ -184,7 +195,7 @@
                 raise TimedOut(timeout)
 
     def sleep(self, seconds: float) -> None:
-        """Wait for some time."""
+        """Wait for a number of seconds."""
         waiter = self.waiter()
         timer = self.call_later(seconds, waiter.wake)
         try:
@@ -193,51 +204,56 @@
             timer.cancel()
 
     def yield_turn(self) -> None:
-        """Let the other tasks have a turn."""
+        """Let the other ready tasks run a turn each."""
         waiter = self.waiter()
         waiter.wake()
         self.park(waiter, "its turn")
 
     def checkpoint(self) -> None:
-        """Called where a wait was not needed: after MAX_UNWAITED of these in a row the others have a turn."""
+        """Yield to the other tasks if this task has called it MAX_OPS_WITHOUT_WAIT times in its turn.
+
+        It is called after each operation that did not have to wait.
+        """
         task = self.current()
-        task.unwaited += 1
-        if task.unwaited >= MAX_UNWAITED:
+        task.ops_without_wait += 1
+        if task.ops_without_wait >= MAX_OPS_WITHOUT_WAIT:
             self.yield_turn()
 
-    def wait_ready(self, port: Port, direction: int, why: str, within: float | None = None) -> None:
-        """Wait until a port is ready; spurious wake-ups are possible, so the caller tries again.
+    def wait_ready(self, port: Port, direction: int, reason: str, timeout: float | None = None) -> None:
+        """Wait until a port is ready.
+
+        Wake-ups may be spurious: the caller has to retry its operation and wait again if that would block.
 
         Raises:
-            TimedOut: it was not ready within that many seconds.
-            Closed: it was closed meanwhile.
+            TimedOut: The port was not ready within `timeout` seconds.
+            Closed: The port was closed, before the call or during the wait.
         """
         waiter = self.waiter()
         self.driver.add_waiter(port, direction, waiter)
         try:
-            self.park(waiter, why, within)
+            self.park(waiter, reason, timeout)
         finally:
             self.driver.remove_waiter(port, direction, waiter)
 
     def unread_age(self) -> float:
-        """Seconds that what is read now may have lain unread in this process's system.
+        """Return the longest time, in seconds, for which data that is read now may have been waiting unread.
 
-        That is the turns since the last look at the ports, and those between it and the one before. It does not
-        count a standstill while the loop waited, of which only the system can tell.
+        This is the time since the last poll plus the duration of the round before it. It does not include a
+        pause of the process during a poll, which only the operating system can report.
         """
-        return self.previous_round + self.now() - self.polled_at
+        return self.previous_round_seconds + self.now() - self.polled_at
 
     def timeout(self, seconds: float) -> Timeout:
-        """A block that may last so long."""
+        """Create a context manager that ends its block after this time."""
         return Timeout(self, seconds)
 
-    def call_at(self, when: float, call: Callable[[], object]) -> Timer:
-        """Make a call at a time on the loop's clock; the call must not wait."""
-        return self.timers.add(when, call)
+    def call_at(self, when: float, callback: Callable[[], object]) -> Timer:
+        """Run a callback at a time on the loop's clock; the callback must not wait."""
+        return self.timers.add(when, callback)
 
-    def call_later(self, seconds: float, call: Callable[[], object]) -> Timer:
-        """Make a call after some time; the call must not wait."""
-        return self.timers.add(self.now() + seconds, call)
+    def call_later(self, seconds: float, callback: Callable[[], object]) -> Timer:
+        """Run a callback after a delay; the callback must not wait."""
+        return self.timers.add(self.now() + seconds, callback)
 
 
 def _print_report(event: str, **fields: object) -> None:
--- a/stepsail/loop/skew.py
+++ b/stepsail/loop/skew.py
@@ -1,4 +1,4 @@
-"""A clock that runs fast or slow and jumps: what a rehearsal puts under a process, to see what it bears."""
+"""Clocks that run fast or slow and jump, by which rehearsals test how a process copes with a wrong clock."""
 
 from __future__ import annotations
 
@@ -8,55 +8,61 @@
 
 from stepsail.loop.poll import PollDriver
 
-FORM = re.compile(r"(\d+(?:\.\d+)?),(-?\d+(?:\.\d+)?)@(\d+(?:\.\d+)?)")
-MIN_RATE = 0.1  # seconds shown for each true one
+SKEW_PATTERN = re.compile(r"(\d+(?:\.\d+)?),(-?\d+(?:\.\d+)?)@(\d+(?:\.\d+)?)")
+MIN_RATE = 0.1  # seconds of the skewed clock per true second
 MAX_RATE = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class Skew:
-    """A clock that runs `rate` times as fast, and jumps `by` seconds at `at` seconds after the start."""
+    """The error of a clock.
+
+    Attributes:
+        rate: Seconds that the clock advances per true second.
+        jump: Seconds by which the clock jumps, once; negative for a jump backwards.
+        jump_at: True seconds from the start to the jump.
+    """
 
     rate: float = 1.0
-    by: float = 0.0
-    at: float = 0.0
+    jump: float = 0.0
+    jump_at: float = 0.0
 
-    def shown(self, began: float, now: float) -> float:
-        """What the clock shows at a true time."""
-        passed = now - began
-        return began + passed * self.rate + (self.by if passed >= self.at else 0.0)
+    def skewed_time(self, start: float, true_time: float) -> float:
+        """Return the time that the clock shows at a true time."""
+        elapsed = true_time - start
+        return start + elapsed * self.rate + (self.jump if elapsed >= self.jump_at else 0.0)
 
-    def put(self) -> str:
-        """The form that `read` takes."""
-        return f"{self.rate!r},{self.by!r}@{self.at!r}"
+    def format(self) -> str:
+        """Return the text that `parse` accepts."""
+        return f"{self.rate!r},{self.jump!r}@{self.jump_at!r}"
 
     @classmethod
-    def read(cls, text: str) -> Skew:
-        """Parse RATE,BY@AT such as 1.05,-3@20.
+    def parse(cls, text: str) -> Skew:
+        """Parse RATE,BY@AT: the rate, the jump and its time, such as 1.05,-3@20.
 
         Raises:
-            ValueError: the text has another form, or the rate is out of bounds.
+            ValueError: The text has another form, or the rate is out of bounds.
         """
-        found = FORM.fullmatch(text)
-        if not found or not MIN_RATE <= float(found[1]) <= MAX_RATE:
+        match = SKEW_PATTERN.fullmatch(text)
+        if not match or not MIN_RATE <= float(match[1]) <= MAX_RATE:
             raise ValueError(
-                f"a clock is given as RATE,BY@AT such as 1.05,-3@20, its rate from {MIN_RATE:g} to {MAX_RATE:g}"
+                f"expected RATE,BY@AT such as 1.05,-3@20, with a rate from {MIN_RATE:g} to {MAX_RATE:g}"
             )
-        return cls(*(float(number) for number in found.groups()))
+        return cls(*(float(number) for number in match.groups()))
 
 
 class SkewedDriver(PollDriver):
-    """The driver of real sockets under a clock of its own."""
+    """The driver for real sockets, with a skewed clock."""
 
     def __init__(self, skew: Skew) -> None:
         super().__init__()
         self.skew = skew
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
 
     def now(self) -> float:  # type: ignore[override]
-        """The clock as the skew shows it."""
-        return self.skew.shown(self.began, time.monotonic())
+        """Return the time of the skewed clock."""
+        return self.skew.skewed_time(self.started_at, time.monotonic())
 
     def poll(self, timeout: float | None) -> None:
-        """Wait so long by the skewed clock."""
+        """Poll with a timeout that is measured by the skewed clock."""
         super().poll(None if timeout is None else timeout / self.skew.rate)
--- a/stepsail/loop/stream.py
+++ b/stepsail/loop/stream.py
@@ -1,4 +1,4 @@
-"""Byte streams, listeners and datagrams on a loop; every call takes its own bound in seconds."""
+"""Byte streams, listeners and datagram sockets for tasks; calls that wait take a timeout in seconds."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from stepsail.loop.scheduler import Loop
 from stepsail.loop.tasks import Waiter
 
-MAX_READ = 65536  # bytes in one read
-ACCEPT_PAUSE = (
-    0.05  # s after an accept that failed for want of descriptors or memory; without it accept spins
-)
-BACKLOG = 1024  # connections that the system holds for accept
-HANDSHAKE_TIME = 0.01  # s for handshakes under way to end: some round trips to a client
-ROOM_CHECK_INTERVAL = 0.02  # s between looks whether a connection can make room, where none ends by itself
+MAX_READ = 65536  # bytes per read
+# s to wait after an accept that failed because descriptors or memory ran out; without it, accept would spin.
+ACCEPT_PAUSE = 0.05
+BACKLOG = 1024  # connections that the system queues for accept
+HANDSHAKE_TIME = 0.01  # s for handshakes that have begun to complete: a few round trips to a client
+# s between attempts to make room for a waiting connection by closing another, if none ends by itself.
+ROOM_CHECK_INTERVAL = 0.02
 
 
 class Stream:
-    """A connected byte stream. `sent` counts the bytes that the system took."""
+    """A connected byte stream; `sent` counts the bytes that the system has accepted for sending."""
 
     def __init__(self, loop: Loop, port: Port, peer: Address) -> None:
         self.loop = loop
@@ -30,61 +30,64 @@
         self.sent = 0
 
     @classmethod
-    def connect(cls, loop: Loop, to: Address, within: float, source: Address | None = None) -> Stream:
-        """A stream to an address.
+    def connect(cls, loop: Loop, to: Address, timeout: float, source: Address | None = None) -> Stream:
+        """Connect to an address and return the stream.
 
         Raises:
-            OSError: the connection could not be made; nothing was sent.
-            TimedOut: it was not made in time; nothing was sent.
+            OSError: The connect failed; nothing was sent.
+            TimedOut: The connect took longer than `timeout` seconds; nothing was sent.
         """
         port = loop.driver.connect(to, source)
         try:
-            loop.wait_ready(port, WRITE, f"a connection to {to[0]}:{to[1]}", within)
-            port.connected()
+            loop.wait_ready(port, WRITE, f"a connection to {to[0]}:{to[1]}", timeout)
+            port.raise_connect_error()
         except BaseException:
             loop.driver.close(port)
             raise
         return cls(loop, port, to)
 
-    def read(self, within: float | None = None, most: int = MAX_READ) -> bytes:
-        """Some bytes, or none at the end of the stream. Raises TimedOut, Closed, OSError."""
+    def read(self, timeout: float | None = None, max_bytes: int = MAX_READ) -> bytes:
+        """Wait for bytes and return them, b"" at the end of the stream. Raises TimedOut, Closed, OSError."""
         if self.port.closed:
             raise Closed("the stream is closed")
-        while (data := self.port.recv(most)) is None:
-            self.loop.wait_ready(self.port, READ, f"bytes from {self.peer[0]}:{self.peer[1]}", within)
+        while (data := self.port.recv(max_bytes)) is None:
+            self.loop.wait_ready(self.port, READ, f"bytes from {self.peer[0]}:{self.peer[1]}", timeout)
             if self.port.closed:
                 raise Closed("the stream was closed")
         self.loop.checkpoint()
         return data
 
-    def read_now(self, most: int = MAX_READ) -> bytes | None:
-        """What has come in already; None if nothing has, empty at the end of the stream."""
-        return self.port.recv(most)
+    def read_now(self, max_bytes: int = MAX_READ) -> bytes | None:
+        """Return bytes that have arrived already; None if there are none, b"" at the end of the stream."""
+        return self.port.recv(max_bytes)
 
-    def write(self, data: bytes, within: float | None = None) -> None:
-        """Write all of it, or raise TimedOut, Closed or OSError; `sent` tells how much left this process."""
+    def write(self, data: bytes, timeout: float | None = None) -> None:
+        """Write all bytes. Raises TimedOut, Closed, OSError; `sent` includes the bytes of a partial write."""
         rest = memoryview(data)
         while rest:
             if self.port.closed:
                 raise Closed("the stream is closed")
             count = self.port.send(rest)
             if count is None:
-                self.loop.wait_ready(self.port, WRITE, f"room towards {self.peer[0]}:{self.peer[1]}", within)
+                self.loop.wait_ready(
+                    self.port, WRITE, f"send buffer space to {self.peer[0]}:{self.peer[1]}", timeout
+                )
                 continue
             self.sent += count
             rest = rest[count:]
 
     def seconds_since_receive(self) -> float:
-        """Seconds since the last bytes arrived, read or not; 0 where the system does not tell."""
+        """Return the seconds since the last bytes arrived, read or not; 0 if the system reports none."""
         try:
             return self.port.seconds_since_receive()
         except OSError:
             return 0.0
 
-    def write_some(self, data: memoryview, within: float) -> int:
-        """Send what fits now; if nothing does, wait until some does or the far end speaks, then return 0.
+    def write_some(self, data: memoryview, timeout: float) -> int:
+        """Send as many bytes as fit into the send buffer, and return how many.
 
-        For a sender that must hear an answer which comes before all is sent.
+        If none fit, wait until there is space or the peer has sent something, then return 0. This lets a
+        sender react to a response that arrives before the whole request is sent.
         """
         if self.port.closed:
             raise Closed("the stream is closed")
@@ -94,7 +97,9 @@
             self.loop.driver.add_waiter(self.port, WRITE, waiter)
             try:
                 self.wake_on_read(waiter)
-                self.loop.park(waiter, f"room towards or bytes from {self.peer[0]}:{self.peer[1]}", within)
+                self.loop.park(
+                    waiter, f"send buffer space to or bytes from {self.peer[0]}:{self.peer[1]}", timeout
+                )
             finally:
                 self.loop.driver.remove_waiter(self.port, WRITE, waiter)
                 self.cancel_wake_on_read(waiter)
@@ -103,75 +108,80 @@
         return count
 
     def wake_on_read(self, waiter: Waiter) -> None:
-        """Wake this waiter with READ when bytes or the end arrive; for a task that waits on two things."""
+        """Also wake a waiter, with READ, when bytes or the end of the stream arrive.
+
+        This lets a task wait for two events with one waiter.
+        """
         self.loop.driver.add_waiter(self.port, READ, waiter)
 
     def cancel_wake_on_read(self, waiter: Waiter) -> None:
-        """Take back `arm`."""
+        """Undo `wake_on_read`."""
         self.loop.driver.remove_waiter(self.port, READ, waiter)
 
     def readable(self) -> bool:
-        """Whether bytes, the end or an error are here, so that a close now would drop something."""
+        """Return whether bytes, the end of the stream or an error are pending, which a close would drop."""
         return self.loop.driver.readable(self.port)
 
     def peer_closed(self) -> bool:
-        """Whether the far end has closed, also behind bytes that lie unread."""
+        """Return whether the peer has closed its end, even if earlier bytes are still unread."""
         return self.loop.driver.peer_closed(self.port)
 
     def half_close(self) -> None:
-        """Send the end of the stream; reading goes on."""
+        """Shut down the sending direction; the stream can still be read."""
         self.port.half_close()
 
     def abort(self) -> None:
-        """Close with a reset."""
+        """Close the stream with a reset."""
         if not self.port.closed:
             self.port.abort()
         self.close()
 
     def close(self) -> None:
-        """Close; where bytes lie unread the far end sees a reset."""
+        """Close the stream; if bytes are unread, the peer receives a reset."""
         self.loop.driver.close(self.port)
 
 
 class Listener:
-    """Accepts streams and gives each to a task.
+    """Accepts streams and handles each in a task of its own.
 
-    Bound: `most` open at once; more wait in the backlog, unless `make_room` closes one of them.
+    Bound: at most `max_connections` are open at once. Further ones wait in the backlog until an open one
+    ends, or until `make_room` closes one. `make_room` returns whether it did.
     """
 
     def __init__(
         self,
         loop: Loop,
         address: Address,
-        most: int,
+        max_connections: int,
         backlog: int = BACKLOG,
         make_room: Callable[[], bool] | None = None,
     ) -> None:
         self.make_room = make_room
         self.loop = loop
         self.port = loop.driver.listen(address, backlog)
-        self.most = most
-        self.address = self.port.name()
-        self.open: dict[Stream, None] = {}  # in the order they came, so that runs from one seed are the same
-        self.room: Waiter | None = None  # the accepting task, while it waits for one of them to end
+        self.max_connections = max_connections
+        self.address = self.port.local_address()
+        # Kept in order of arrival, so that runs with the same seed are identical.
+        self.open_streams: dict[Stream, None] = {}
+        self.room_waiter: Waiter | None = None  # wakes the accepting task when a connection ends
         self.handle: Callable[[Stream], Any] = _ignore
         self.name = "client"
-        self.finishing = False
+        self.closing_gracefully = False
 
     def serve(self, handle: Callable[[Stream], Any], name: str) -> None:
-        """Accept until closed; each connection is handled by a task of its own."""
+        """Accept connections until the listener is closed, and handle each in a task of its own."""
         self.handle = handle
         self.name = name
         while not self.port.closed:
-            if len(self.open) >= self.most:
+            if len(self.open_streams) >= self.max_connections:
                 self._wait_for_room()
                 continue
             try:
-                took = self._accept()
+                accepted = self._accept()
             except OSError as error:
                 self._wait_for_resources(error)
                 continue
-            if took:
+            if accepted:
                 self.loop.checkpoint()
                 continue
             try:
@@ -180,33 +190,38 @@
                 return
 
     def _wait_for_room(self) -> None:
-        # A connection is closed only for another one that waits.
+        # An open connection is closed only if another one is waiting to be accepted.
         if self.make_room and self.loop.driver.readable(self.port) and self.make_room():
-            self.loop.yield_turn()  # the one that was closed ends first
+            self.loop.yield_turn()  # lets the task of the closed connection end
             return
-        self.room = self.loop.waiter()
-        with contextlib.suppress(TimedOut):  # whoever may make room may do so later
+        self.room_waiter = self.loop.waiter()
+        with contextlib.suppress(TimedOut):  # `make_room` may succeed at a later attempt
             interval = ROOM_CHECK_INTERVAL if self.make_room else None
-            self.loop.park(self.room, f"one of {self.most} connections to end", interval)
+            self.loop.park(self.room_waiter, f"one of {self.max_connections} connections to end", interval)
 
     def _accept(self) -> bool:
-        """Take one that waits, if one does. Raises OSError."""
-        taken = self.port.accept()
-        if taken is None:
+        """Accept one connection and start its task; return False if none is waiting. Raises OSError."""
+        connection = self.port.accept()
+        if connection is None:
             return False
-        stream = Stream(self.loop, *taken)
-        self.open[stream] = None
-        self.loop.spawn(self._one, self.handle, stream, name=f"{self.name} {stream.peer[0]}:{stream.peer[1]}")
+        stream = Stream(self.loop, *connection)
+        self.open_streams[stream] = None
+        self.loop.spawn(
+            self._handle_stream, self.handle, stream, name=f"{self.name} {stream.peer[0]}:{stream.peer[1]}"
+        )
         return True
 
-    def finish(self) -> bool:
-        """Begin to close, after all that the system has accepted or is about to; whether it is closed by now.
+    def close_gracefully(self) -> bool:
+        """Close after accepting every connection whose handshake has begun; return whether that is done.
+
+        Call it repeatedly: the first call starts a task that accepts the rest and then closes the listener.
 
-        A close resets the connections that wait in the backlog, with the complete requests that they may hold. Accept
-        and close are two calls, so new connections are refused before the last one is accepted.
+        Closing a listener resets the connections in its backlog, with the complete requests that they may
+        hold. Accept and close are separate calls, so new connections are refused before the last one is
+        accepted.
         """
-        if not self.finishing:
-            self.finishing = True
+        if not self.closing_gracefully:
+            self.closing_gracefully = True
             self._stop_handshakes()
             self.loop.spawn(self._accept_rest, name=f"close the listener for {self.name}")
         return self.port.closed
@@ -216,7 +231,7 @@
             return
         try:
             self.port.stop_handshakes()
-        except OSError as error:  # one that comes between the last accept and the close is reset
+        except OSError as error:  # connections made between the last accept and the close are reset
             self.loop.report("handshakes_not_stopped", error=str(error))
 
     def _accept_rest(self) -> None:
@@ -226,9 +241,9 @@
         self.close()
 
     def _accept_backlog(self) -> bool:
-        """Accept all that waits; False while there is no room for one."""
+        """Accept all connections in the backlog; return False if one is left that cannot be accepted now."""
         while not self.port.closed:
-            if len(self.open) >= self.most:
+            if len(self.open_streams) >= self.max_connections:
                 return False
             try:
                 if not self._accept():
@@ -238,58 +253,58 @@
         return True
 
     def _wait_for_resources(self, error: OSError) -> None:
-        """Pause after an accept that failed; the connection waits in the backlog with what it holds."""
+        """Pause after an accept that failed; the connection and its data remain in the backlog."""
         if self.port.closed:
             return
-        self.loop.report("accept_failed", error=str(error), open=len(self.open))
+        self.loop.report("accept_failed", error=str(error), open=len(self.open_streams))
         if self.make_room:
             self.make_room()
         self.loop.sleep(ACCEPT_PAUSE)
 
-    def _one(self, handle: Callable[[Stream], Any], stream: Stream) -> None:
+    def _handle_stream(self, handle: Callable[[Stream], Any], stream: Stream) -> None:
         try:
             handle(stream)
         except (OSError, Closed):
-            pass  # the far end's doing; the handler has told whoever must know
+            pass  # caused by the peer; the handler has reported it where needed
         finally:
             stream.close()
-            self.open.pop(stream, None)
-            if self.room:
-                self.room.wake()
+            self.open_streams.pop(stream, None)
+            if self.room_waiter:
+                self.room_waiter.wake()
 
     def close(self) -> None:
-        """Accept nothing more."""
+        """Close the listener; streams that are open stay open."""
         self.loop.driver.close(self.port)
 
     def drop(self) -> None:
-        """Stop at once: the listener is closed and every stream is reset."""
+        """Close the listener and reset all of its open streams."""
         self.close()
-        for stream in tuple(self.open):
+        for stream in tuple(self.open_streams):
             stream.abort()
 
 
 def _ignore(stream: Stream) -> None:
-    """Handle no stream: `serve` has not begun."""
+    """Does nothing; it is the handler until `serve` is called."""
 
 
 class Datagrams:
-    """A datagram socket; a send that would wait is dropped."""
+    """A datagram socket; a datagram is dropped if sending it would block."""
 
     def __init__(self, loop: Loop, address: Address) -> None:
         self.loop = loop
         self.port = loop.driver.datagrams(address)
-        self.address = self.port.name()
+        self.address = self.port.local_address()
 
     def send(self, data: bytes, to: Address) -> bool:
-        """Send one datagram; whether the system took it."""
+        """Send a datagram; return whether the system accepted it."""
         return not self.port.closed and self.port.sendto(data, to) is not None
 
-    def receive(self, within: float | None = None, most: int = MAX_READ) -> tuple[bytes, Address]:
-        """The next datagram and its sender. Raises TimedOut, Closed."""
-        while (found := self.port.recvfrom(most)) is None:
-            self.loop.wait_ready(self.port, READ, "a datagram", within)
+    def receive(self, timeout: float | None = None, max_bytes: int = MAX_READ) -> tuple[bytes, Address]:
+        """Wait for a datagram; return it and its sender's address. Raises TimedOut, Closed."""
+        while (received := self.port.recvfrom(max_bytes)) is None:
+            self.loop.wait_ready(self.port, READ, "a datagram", timeout)
         self.loop.checkpoint()
-        return found
+        return received
 
     def close(self) -> None:
         """Close the socket."""
--- a/stepsail/loop/sync.py
+++ b/stepsail/loop/sync.py
@@ -1,4 +1,4 @@
-"""Events, bounded channels and semaphores between tasks of one loop."""
+"""Events, bounded channels and semaphores for the tasks of one loop."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Event:
-    """Set once; whoever waits for it, then or later, goes on."""
+    """A flag that is set once, which wakes all tasks that wait for it; later waits return at once."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
@@ -22,114 +22,114 @@
         self.waiters: list[Waiter] = []
 
     def set(self) -> None:
-        """Wake all who wait; a further call changes nothing."""
+        """Set the event and wake all tasks that wait for it; further calls have no effect."""
         self.is_set = True
         for waiter in self.waiters:
             waiter.wake()
         self.waiters.clear()
 
-    def wait(self, within: float | None = None, why: str = "an event") -> None:
-        """Wait until it is set. Raises TimedOut."""
+    def wait(self, timeout: float | None = None, reason: str = "an event") -> None:
+        """Wait until the event is set. Raises TimedOut."""
         if not self.is_set:
             waiter = self.loop.waiter()
             self.waiters.append(waiter)
             try:
-                self.loop.park(waiter, why, within)
+                self.loop.park(waiter, reason, timeout)
             finally:
                 if waiter in self.waiters:
                     self.waiters.remove(waiter)
 
 
 class Channel(Generic[T]):
-    """A queue of at most `most` items. `put` waits for room, `offer` does not."""
+    """A queue of at most `capacity` items; `put` waits while it is full, `offer` does not."""
 
-    def __init__(self, loop: Loop, most: int) -> None:
+    def __init__(self, loop: Loop, capacity: int) -> None:
         self.loop = loop
-        self.most = most
+        self.capacity = capacity
         self.closed = False
         self.items: deque[T] = deque()
         self.getters: deque[Waiter] = deque()
         self.putters: deque[Waiter] = deque()
 
     @staticmethod
-    def _next(waiters: deque[Waiter]) -> None:
+    def _wake_next(waiters: deque[Waiter]) -> None:
         while waiters and not waiters.popleft().wake():
             pass
 
     def offer(self, item: T) -> bool:
-        """Add an item if there is room; whether there was. Raises Closed."""
+        """Add an item unless the channel is full; return whether it was added. Raises Closed."""
         if self.closed:
             raise Closed("the channel is closed")
-        if len(self.items) >= self.most:
+        if len(self.items) >= self.capacity:
             return False
         self.items.append(item)
-        self._next(self.getters)
+        self._wake_next(self.getters)
         return True
 
-    def put(self, item: T, within: float | None = None) -> None:
-        """Add an item, once there is room. Raises TimedOut, Closed."""
+    def put(self, item: T, timeout: float | None = None) -> None:
+        """Add an item, waiting while the channel is full. Raises TimedOut, Closed."""
         while not self.offer(item):
             waiter = self.loop.waiter()
             self.putters.append(waiter)
             try:
-                self.loop.park(waiter, "room in a channel", within)
+                self.loop.park(waiter, "free space in a channel", timeout)
             except BaseException:
-                if waiter.done:  # woken and cancelled in one round: the room goes to the next one
-                    self._next(self.putters)
+                if waiter.done:  # woken and cancelled in one round: its space goes to the next putter
+                    self._wake_next(self.putters)
                 raise
 
-    def get(self, within: float | None = None) -> T:
-        """The next item. Raises TimedOut, and Closed once the channel is closed and empty."""
+    def get(self, timeout: float | None = None) -> T:
+        """Remove and return the next item. Raises TimedOut, and Closed if the channel is closed and empty."""
         while not self.items:
             if self.closed:
                 raise Closed("the channel is closed")
             waiter = self.loop.waiter()
             self.getters.append(waiter)
             try:
-                self.loop.park(waiter, "an item in a channel", within)
+                self.loop.park(waiter, "an item in a channel", timeout)
             except BaseException:
                 if self.items:
-                    self._next(self.getters)
+                    self._wake_next(self.getters)
                 raise
         item = self.items.popleft()
-        self._next(self.putters)
+        self._wake_next(self.putters)
         return item
 
     def close(self) -> None:
-        """Take nothing more; what is in it can still be had."""
+        """Accept no more items; those already in the channel can still be fetched with `get`."""
         self.closed = True
         for waiter in (*self.getters, *self.putters):
             waiter.wake()
 
 
 class Semaphore:
-    """At most `most` holders at once; first come, first served."""
+    """A semaphore with a number of permits, granted to waiting tasks in the order of their requests."""
 
-    def __init__(self, loop: Loop, most: int) -> None:
+    def __init__(self, loop: Loop, permits: int) -> None:
         self.loop = loop
-        self.free = most
+        self.available = permits
         self.waiters: deque[Waiter] = deque()
 
-    def acquire(self, within: float | None = None) -> None:
-        """Become a holder, once there is room. Raises TimedOut."""
-        if self.free > 0 and not self.waiters:
-            self.free -= 1
+    def acquire(self, timeout: float | None = None) -> None:
+        """Acquire a permit, waiting until one is available. Raises TimedOut."""
+        if self.available > 0 and not self.waiters:
+            self.available -= 1
             return
         waiter = self.loop.waiter()
         self.waiters.append(waiter)
         try:
-            self.loop.park(waiter, "a semaphore", within)  # whoever wakes it hands its place on
+            self.loop.park(waiter, "a semaphore", timeout)  # `release` passes its permit to the woken task
         except BaseException:
             if waiter in self.waiters:
                 self.waiters.remove(waiter)
             raise
 
     def release(self) -> None:
-        """Let the next one in."""
+        """Release a permit: pass it to the next waiting task, or make it available."""
         while self.waiters:
             if self.waiters.popleft().wake():
                 return
-        self.free += 1
+        self.available += 1
 
     def __enter__(self) -> None:
         self.acquire()
--- a/stepsail/loop/tasks.py
+++ b/stepsail/loop/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks as greenlets: waits, cancellation, joins and time limits on a block."""
+"""Tasks as greenlets: waits, cancellation, joins and timeouts around a block."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
 from stepsail.loop.errors import Cancelled, CleanupExpired, TimedOut
 from stepsail.loop.timers import Timer
 
-CLEANUP_SECONDS = 5.0  # that a cancelled task may still wait in its clean-up
+CLEANUP_SECONDS = 5.0  # for which a cancelled task may still wait in its cleanup
 
 
 class Scheduler(Protocol):
-    """What a task asks of the loop that runs it."""
+    """The interface that a task needs from the loop that runs it."""
 
-    home: greenlet  # to which a task switches when it waits
-    turns: deque[tuple[Task, Any, BaseException | None]]  # tasks to resume: with a value, or with an error
+    scheduler_greenlet: greenlet  # a task switches to this greenlet when it waits
+    run_queue: deque[tuple[Task, Any, BaseException | None]]  # tasks to resume, each with a value or an error
     tasks: dict[Task, None]
     report: Callable[..., object]
 
     def now(self) -> float:
-        """The loop's clock, in seconds."""
+        """Return the loop's clock, in seconds."""
 
     def current(self) -> Task:
-        """The task that runs."""
+        """Return the running task."""
 
     def waiter(self) -> Waiter:
-        """A wait of the task that runs."""
+        """Create a waiter for the running task."""
 
-    def park(self, waiter: Waiter, why: str, within: float | None = None) -> Any:
-        """Wait until a waiter is woken."""
+    def park(self, waiter: Waiter, reason: str, timeout: float | None = None) -> Any:
+        """Suspend the running task until its waiter is woken."""
 
-    def call_at(self, when: float, call: Callable[[], object]) -> Timer:
-        """Make a call at a time."""
+    def call_at(self, when: float, callback: Callable[[], object]) -> Timer:
+        """Run a callback at a time on the loop's clock."""
 
-    def call_later(self, seconds: float, call: Callable[[], object]) -> Timer:
-        """Make a call after some time."""
+    def call_later(self, seconds: float, callback: Callable[[], object]) -> Timer:
+        """Run a callback after a delay."""
 
     def task_failed(self, task: Task, error: BaseException) -> None:
-        """Take note of a task that ended with an error."""
+        """Handle a task that has ended with an error."""
 
 
 class Waiter:
-    """One wait of one task. The first wake or throw wins; later ones do nothing."""
+    """A single wait of one task; the first wake or throw ends it and later ones do nothing."""
 
     __slots__ = ("done", "task")
 
@@ -55,37 +55,37 @@
         self.done = False
 
     def wake(self, value: Any = None) -> bool:
-        """Resume the task with a value; False if the wait had ended before."""
+        """Resume the task with a value; return False if the wait had already ended."""
         if self.done:
             return False
         self.done = True
-        self.task.loop.turns.append((self.task, value, None))
+        self.task.loop.run_queue.append((self.task, value, None))
         return True
 
     def throw(self, error: BaseException) -> bool:
-        """Resume the task with an error; False if the wait had ended before."""
+        """Resume the task with an error; return False if the wait had already ended."""
         if self.done:
             return False
         self.done = True
-        self.task.loop.turns.append((self.task, None, error))
+        self.task.loop.run_queue.append((self.task, None, error))
         return True
 
 
 class Task:
-    """A greenlet with a name.
+    """A function that runs in a greenlet of its own and has a name.
 
     Attributes:
-        result: what the call returned, once `done`.
-        error: what it raised; reported to the loop unless somebody joins.
-        started: whether it has had its first turn.
-        current_wait: the wait it is in, None while it runs or is about to.
-        wait_reason: what it waits for, for a person.
-        essential: whether its error ends the loop.
+        result: The function's return value, once the task is `done`.
+        error: The exception that ended the task. The loop reports it unless a task joins this one.
+        started: Whether the function has been called.
+        current_wait: The waiter that the task is suspended on; None while it runs and before its first turn.
+        wait_reason: Human-readable description of what the task waits for.
+        essential: Whether an error of this task ends the loop.
     """
 
     __slots__ = (
         "args",
-        "call",
+        "function",
         "cancel_pending",
         "cancelling",
         "cleanup_timer",
@@ -100,37 +100,37 @@
         "result",
         "started",
         "timeouts",
-        "unwaited",
+        "ops_without_wait",
         "wait_reason",
     )
 
     def __init__(
-        self, loop: Scheduler, name: str, call: Callable[..., Any], args: tuple[Any, ...], essential: bool
+        self, loop: Scheduler, name: str, function: Callable[..., Any], args: tuple[Any, ...], essential: bool
     ) -> None:
         self.loop = loop
         self.name = name
-        self.call = call
+        self.function = function
         self.args = args
         self.essential = essential
-        self.greenlet: greenlet | None = greenlet(self._run, parent=loop.home)
+        self.greenlet: greenlet | None = greenlet(self._run, parent=loop.scheduler_greenlet)
         self.result: Any = None
         self.error: BaseException | None = None
         self.done = False
         self.started = False
         self.cancelling = False
-        self.cancel_pending = False  # Cancelled is raised at the next wait
+        self.cancel_pending = False  # Cancelled will be raised at the next wait
         self.current_wait: Waiter | None = None
         self.wait_reason = "its first turn"
         self.joiners: list[Waiter] = []
         self.timeouts: list[Timeout] = []
-        self.unwaited = 0  # operations in a row that did not have to wait
+        self.ops_without_wait = 0  # consecutive operations that did not have to wait
         self.cleanup_timer: Timer | None = None
 
     def _run(self, *_: Any) -> None:
         try:
-            if not self.cancel_pending:  # cancelled before its first turn: it never begins
+            if not self.cancel_pending:  # a task cancelled before its first turn never starts
                 self.started = True
-                self.result = self.call(*self.args)
+                self.result = self.function(*self.args)
         except Cancelled as end:
             self.error = end
         except BaseException as error:
@@ -140,7 +140,7 @@
 
     def _finish(self) -> None:
         self.done = True
-        self.call = _nothing
+        self.function = _no_op
         self.args = ()
         self.greenlet = None
         if self.cleanup_timer:
@@ -150,9 +150,10 @@
             joiner.wake()
 
     def cancel(self) -> None:
-        """Raise Cancelled inside the task at its next wait, exactly once.
+        """Raise Cancelled inside the task, exactly once, at its current or next wait.
 
-        What a wait has just given it is kept: it hears of the cancellation at the wait after.
+        If the current wait has already ended with a value, the task still receives that value, and Cancelled
+        is raised at the wait that follows.
         """
         if self.done or self.cancelling:
             return
@@ -165,18 +166,18 @@
         if self.current_wait and self.current_wait.throw(CleanupExpired()):
             self.loop.report("task_cleanup_overran", task=self.name, seconds=CLEANUP_SECONDS)
 
-    def join(self, within: float | None = None) -> Any:
-        """Wait for the end, at most `within` seconds, and return the result.
+    def join(self, timeout: float | None = None) -> Any:
+        """Wait until the task has ended, at most `timeout` seconds, and return its result.
 
         Raises:
-            TimedOut: the task still runs.
-            BaseException: whatever ended the task, but for its cancellation.
+            TimedOut: The task is still running.
+            BaseException: The exception that ended the task, except for a cancellation.
         """
         if not self.done:
             waiter = self.loop.waiter()
             self.joiners.append(waiter)
             try:
-                self.loop.park(waiter, f"the end of {self.name}", within)
+                self.loop.park(waiter, f"the end of {self.name}", timeout)
             finally:
                 if waiter in self.joiners and not self.done:
                     self.joiners.remove(waiter)
@@ -185,22 +186,24 @@
         return self.result
 
 
-def _nothing() -> None:
-    """Stand in for the call of a task that has ended, so that what it held can be freed."""
+def _no_op() -> None:
+    """Replaces the function of a task that has ended, so that the objects it refers to can be freed."""
 
 
 class Timeout:
-    """`with loop.timeout(seconds) as timeout:` ends its block after that time; timeouts nest.
+    """Context manager that ends its block after some time: `with loop.timeout(seconds) as timeout:`.
+
+    Timeouts can be nested.
 
     Attributes:
-        expired: after the block, whether this timeout ended it.
+        expired: Whether this timeout ended the block; set when the block is left.
     """
 
     def __init__(self, loop: Scheduler, seconds: float) -> None:
         self.loop = loop
         self.deadline = loop.now() + seconds
         self.expired = False
-        self.pending = False  # TimedOut is raised at the task's next wait
+        self.pending = False  # TimedOut will be raised at the task's next wait
         self.task: Task | None = None
         self.timer: Timer | None = None
 
--- a/stepsail/loop/timers.py
+++ b/stepsail/loop/timers.py
@@ -1,4 +1,7 @@
-"""Timers in a heap; a cancelled one costs nothing until it surfaces or the heap is mostly dead."""
+"""Timers in a heap.
+
+A cancelled timer stays in the heap until it reaches the top, or until most of the heap is cancelled timers.
+"""
 
 from __future__ import annotations
 
@@ -6,67 +9,69 @@
 from heapq import heapify, heappop, heappush
 from itertools import count
 
-MIN_DEAD_TO_SWEEP = 64  # cancelled timers; sweeping fewer costs more than they do
+# Up to this many cancelled timers stay in the heap, as sweeping so few costs more than keeping them.
+MIN_CANCELLED_TO_SWEEP = 64
 
 
 class Timer:
-    """One call to be made at its time; it can be cancelled until then."""
+    """A callback scheduled for a time; it can be cancelled until it runs."""
 
-    __slots__ = ("call", "timers")
+    __slots__ = ("callback", "timers")
 
-    def __init__(self, timers: Timers, call: Callable[[], object]) -> None:
+    def __init__(self, timers: Timers, callback: Callable[[], object]) -> None:
         self.timers = timers
-        self.call: Callable[[], object] | None = call
+        self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
-        """Take the call back; later or repeated calls change nothing."""
-        if self.call is not None:
-            self.call = None
-            self.timers.dead += 1
+        """Cancel the timer; has no effect once it has run or been cancelled."""
+        if self.callback is not None:
+            self.callback = None
+            self.timers.cancelled_count += 1
             self.timers.sweep()
 
 
 class Timers:
-    """The timers of a loop.
+    """Holds the timers of a loop.
 
-    Bound: one entry per live timer, and at most as many cancelled ones again (at least MIN_DEAD_TO_SWEEP).
+    Bound: one entry per live timer, plus at most as many cancelled ones, or MIN_CANCELLED_TO_SWEEP if that is
+    more.
     """
 
     def __init__(self) -> None:
-        # Tuples, as they compare without a call into Python: when, then the order in which they were set.
+        # Tuples of due time, sequence number and timer: tuples compare without running Python code.
         self.heap: list[tuple[float, int, Timer]] = []
-        self.dead = 0
+        self.cancelled_count = 0
         self.sequence = count()
 
-    def add(self, when: float, call: Callable[[], object]) -> Timer:
-        """Set a timer for a time on the loop's clock."""
-        timer = Timer(self, call)
+    def add(self, when: float, callback: Callable[[], object]) -> Timer:
+        """Schedule a callback for a time on the loop's clock."""
+        timer = Timer(self, callback)
         heappush(self.heap, (when, next(self.sequence), timer))
         return timer
 
     def sweep(self) -> None:
-        """Drop cancelled timers once they are most of the heap."""
-        if self.dead > MIN_DEAD_TO_SWEEP and self.dead * 2 > len(self.heap):
-            self.heap = [entry for entry in self.heap if entry[2].call is not None]
+        """Remove the cancelled timers once they are most of the heap."""
+        if self.cancelled_count > MIN_CANCELLED_TO_SWEEP and self.cancelled_count * 2 > len(self.heap):
+            self.heap = [entry for entry in self.heap if entry[2].callback is not None]
             heapify(self.heap)
-            self.dead = 0
+            self.cancelled_count = 0
 
-    def next_at(self) -> float | None:
-        """When the earliest live timer is due, or None."""
-        while self.heap and self.heap[0][2].call is None:
+    def next_due_time(self) -> float | None:
+        """Return the time at which the earliest live timer is due, or None if there is none."""
+        while self.heap and self.heap[0][2].callback is None:
             heappop(self.heap)
-            self.dead -= 1
+            self.cancelled_count -= 1
         return self.heap[0][0] if self.heap else None
 
-    def due(self, now: float) -> list[Callable[[], object]]:
-        """Take out the calls that are due, earliest first; one set for the past is due at once."""
-        calls: list[Callable[[], object]] = []
-        while (when := self.next_at()) is not None and when <= now:
+    def pop_due(self, now: float) -> list[Callable[[], object]]:
+        """Remove the timers that are due, also those set for the past; return their callbacks in order."""
+        callbacks: list[Callable[[], object]] = []
+        while (when := self.next_due_time()) is not None and when <= now:
             timer = heappop(self.heap)[2]
-            assert timer.call is not None
-            calls.append(timer.call)
-            timer.call = None
-        return calls
+            assert timer.callback is not None
+            callbacks.append(timer.callback)
+            timer.callback = None
+        return callbacks
 
     def __len__(self) -> int:
-        return len(self.heap) - self.dead
+        return len(self.heap) - self.cancelled_count
--- a/stepsail/loop/waiting.py
+++ b/stepsail/loop/waiting.py
@@ -1,4 +1,4 @@
-"""What a driver needs of whoever waits, and what the ports of every driver have in common."""
+"""The interface between a driver and the waits it ends, and the base class of every driver's ports."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 class Wakeable(Protocol):
-    """One wait that may be ended once, with a value or with an error."""
+    """A wait that can be ended once, with a value or with an error."""
 
     def wake(self, value: Any = None) -> bool:
-        """End the wait with a value; False if it had ended before."""
+        """End the wait with a value; return False if it had already ended."""
 
     def throw(self, error: BaseException) -> bool:
-        """End the wait with an error; False if it had ended before."""
+        """End the wait with an error; return False if it had already ended."""
 
 
 class WaitingPort:
-    """The waiting part of a port: whether it is closed, and at most one waiter for each direction."""
+    """Base class of ports: keeps the closed flag and at most one waiter per direction."""
 
     def __init__(self) -> None:
         self.closed = False
         self.waiters: dict[int, Wakeable] = {}
 
     def add_waiter(self, direction: int, waiter: Wakeable) -> None:
-        """Register a waiter.
+        """Register a waiter for a direction.
 
         Raises:
-            Closed: the port is closed.
-            RuntimeError: another task waits for the same direction, which is an error of the caller.
+            Closed: The port is closed.
+            RuntimeError: The direction has a waiter already, which is a bug in the caller.
         """
         if self.closed:
             raise Closed("the descriptor is closed")
         if direction in self.waiters:
-            raise RuntimeError("two tasks wait on one descriptor for the same thing")
+            raise RuntimeError("another task already waits on this descriptor in the same direction")
         self.waiters[direction] = waiter
 
     def fail_waiters(self) -> None:
-        """Raise Closed in whoever waits: the port was closed."""
+        """Raise Closed in every task that waits on the port, which was just closed."""
         for waiter in self.waiters.values():
-            waiter.throw(Closed("the descriptor was closed while waited on"))
+            waiter.throw(Closed("the descriptor was closed while a task waited on it"))
         self.waiters.clear()
--- a/stepsail/platform/application.py
+++ b/stepsail/platform/application.py
@@ -118,7 +118,7 @@
         self._open_listener()
         self._wait_for_first_list()
         self.accept_requests(len(self.discovery.table.endpoints))
-        self.stop_requested.wait(why="a signal to stop")
+        self.stop_requested.wait(reason="a signal to stop")
         return self.shut_down()
 
     def stop_accepting(self) -> None:
--- a/stepsail/proxy/application.py
+++ b/stepsail/proxy/application.py
@@ -148,7 +148,7 @@
         self._start_background_tasks()
         self.policy_service.start()
         open_task = self.loop.spawn(self._open_listener, name="open the listener", essential=True)
-        self.stop_requested.wait(why="a signal to stop")
+        self.stop_requested.wait(reason="a signal to stop")
         open_task.cancel()
         return self.shut_down()
 
@@ -169,7 +169,7 @@
 
         The state of release control is waited for as well, but for RELEASE_STATE_TIMEOUT at most.
         """
-        self.endpoint_discovery.has_endpoints.wait(why="the endpoint list")
+        self.endpoint_discovery.has_endpoints.wait(reason="the endpoint list")
         deadline = self.loop.now() + RELEASE_STATE_TIMEOUT
         while not self.release_control.state_known and self.loop.now() < deadline:
             self.loop.sleep(POLL_INTERVAL)
--- a/stepsail/proxy/listener.py
+++ b/stepsail/proxy/listener.py
@@ -83,7 +83,7 @@
             Whether the listener is closed and no connection is open any more.
         """
         self.reaper.close_for_shutdown()
-        return self.listener is None or (self.listener.finish() and not self.listener.open)
+        return self.listener is None or (self.listener.close_gracefully() and not self.listener.open_streams)
 
     def serve_client(self, stream: Stream) -> None:
         """Serve one client's connection until it ends."""
--- a/stepsail/simulation/driver.py
+++ b/stepsail/simulation/driver.py
@@ -45,7 +45,7 @@
         """The process's monotonic clock."""
         if self.skew == NO_SKEW:
             return self.simulator.now
-        return self.skew.shown(self.began, self.simulator.now)
+        return self.skew.skewed_time(self.began, self.simulator.now)
 
     def wall_clock(self) -> float:
         """The one clock of the simulation."""
--- a/stepsail/simulation/port.py
+++ b/stepsail/simulation/port.py
@@ -76,7 +76,7 @@
         """Whether the far end has closed or is gone."""
         return False
 
-    def name(self) -> Address:
+    def local_address(self) -> Address:
         """The address of this end."""
         return self.address
 
@@ -113,7 +113,7 @@
         """Send a datagram."""
         raise self._unsupported()
 
-    def connected(self) -> None:
+    def raise_connect_error(self) -> None:
         """Raise what became of a connect."""
         raise self._unsupported()
 
--- a/stepsail/simulation/stream_port.py
+++ b/stepsail/simulation/stream_port.py
@@ -52,7 +52,7 @@
         """Whether the far end has closed or is gone."""
         return self.ended or self.error != 0
 
-    def connected(self) -> None:
+    def raise_connect_error(self) -> None:
         """Raise what became of a connect."""
         if self.error:
             raise OSError(self.error, os.strerror(self.error))
--- a/stepsail/standins/instances.py
+++ b/stepsail/standins/instances.py
@@ -134,7 +134,7 @@
 
     def start(self) -> None:
         """Start the process; its output goes to the log."""
-        clock = [] if self.skew == Skew() else ["--clock", self.skew.put()]
+        clock = [] if self.skew == Skew() else ["--clock", self.skew.format()]
         command = [*self.command, str(self.settings_file), *clock]
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=log, stderr=log)
--- a/stepsail/standins/link.py
+++ b/stepsail/standins/link.py
@@ -69,7 +69,7 @@
         self._cut_directions = frozenset(direction for direction, is_cut in directions if is_cut)
         if self._healed is None and self._cut_directions:
             self._healed = Event(self.loop)
-            self._met_cut |= self.listener.open
+            self._met_cut |= self.listener.open_streams
 
     def heal(self) -> None:
         """End the cut; what waited or came during it is lost, as late bytes would be the network's doing."""
@@ -77,7 +77,7 @@
             healed = self._healed
             self._healed = None
             self._cut_directions = frozenset()
-            for stream in self._met_cut | self.listener.open:
+            for stream in self._met_cut | self.listener.open_streams:
                 stream.abort()
             self._met_cut.clear()
             healed.set()
--- a/stepsail/standins/rehearsal.py
+++ b/stepsail/standins/rehearsal.py
@@ -143,7 +143,9 @@
         self.umpires = [self.hire(loop, n, zone, self.out, self.transcript) for n, zone in enumerate(zones)]
         for number, skew in day.clocks.items():
             self.umpires[number].skew = skew
-            self.transcript.add("day", "clock", umpire=number, rate=skew.rate, by=skew.by, after=skew.at)
+            self.transcript.add(
+                "day", "clock", umpire=number, rate=skew.rate, by=skew.jump, after=skew.jump_at
+            )
         self.switch = self._switch(world) if day.view else None
         try:
             for umpire in self.umpires:
--- a/tests/endings/test_shutdown.py
+++ b/tests/endings/test_shutdown.py
@@ -112,7 +112,7 @@
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
         client.sendall(request("n1"))
-        rig.wait_until(lambda: rig.application.listener.listener.open)  # type: ignore[union-attr]
+        rig.wait_until(lambda: rig.application.listener.listener.open_streams)  # type: ignore[union-attr]
         rig.application.listener.begin_shutdown()
         begin.append(True)
         assert b"200 OK" in read_all(rig.loop, client)
--- a/tests/loop/test_sockets.py
+++ b/tests/loop/test_sockets.py
@@ -1,4 +1,4 @@
-"""The poll driver on loopback: closing, hang-up, refusal, reset, running out of descriptors, signals."""
+"""The poll driver on the loopback interface: close, hang-up, refusal, reset, lack of descriptors, signals."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from stepsail.loop import Closed, Datagrams, Listener, Loop, PollDriver, Stream, TimedOut
 from stepsail.loop.driver import READ
 
-HERE = ("127.0.0.1", 0)
+LOOPBACK = ("127.0.0.1", 0)
 
 
 @pytest.fixture()
@@ -30,44 +30,44 @@
 reports: list[tuple[str, dict[str, Any]]] = []
 
 
-def pair(loop: Loop) -> tuple[Stream, socket.socket]:
-    """A stream of the loop's and a plain blocking socket at its far end."""
-    with socket.create_server(HERE) as server:
+def connect_pair(loop: Loop) -> tuple[Stream, socket.socket]:
+    """Return a connected stream of the loop and the plain blocking socket at its other end."""
+    with socket.create_server(LOOPBACK) as server:
         stream = Stream.connect(loop, server.getsockname(), 1)
         return stream, server.accept()[0]
 
 
-def test_a_descriptor_closed_while_waited_on_and_its_number_reused(loop: Loop) -> None:
+def test_a_descriptor_is_closed_during_a_wait_and_its_number_reused(loop: Loop) -> None:
     def main() -> None:
-        old, far = pair(loop)
+        old_stream, peer = connect_pair(loop)
 
-        def reads() -> str:
+        def read_until_closed() -> str:
             try:
-                old.read()
+                old_stream.read()
             except Closed:
                 return "closed"
             return "read"
 
-        reader = loop.spawn(reads)
+        reader = loop.spawn(read_until_closed)
         loop.yield_turn()
-        number = old.port.fd  # type: ignore[attr-defined]
-        old.close()
-        new, new_far = pair(loop)
-        assert new.port.fd == number  # type: ignore[attr-defined]
-        new_far.sendall(b"for the new one")
-        assert new.read(1) == b"for the new one"
+        fd_number = old_stream.port.fd  # type: ignore[attr-defined]
+        old_stream.close()
+        new_stream, new_peer = connect_pair(loop)
+        assert new_stream.port.fd == fd_number  # type: ignore[attr-defined]
+        new_peer.sendall(b"for the new one")
+        assert new_stream.read(1) == b"for the new one"
         assert reader.join() == "closed"
-        for end in (far, new_far):
-            end.close()
+        for sock in (peer, new_peer):
+            sock.close()
 
     loop.run(main)
 
 
-def test_hang_up_with_unread_data_gives_the_data_first(loop: Loop) -> None:
+def test_unread_data_is_read_before_a_hang_up(loop: Loop) -> None:
     def main() -> None:
-        stream, far = pair(loop)
-        far.sendall(b"last words")
-        far.close()
+        stream, peer = connect_pair(loop)
+        peer.sendall(b"last words")
+        peer.close()
         loop.sleep(0.01)
         assert stream.read(1) == b"last words"
         assert stream.read(1) == b""
@@ -75,56 +75,57 @@
     loop.run(main)
 
 
-def test_connect_refused_hanging_and_reset(loop: Loop) -> None:
+def test_refused_and_hanging_connects_and_a_reset(loop: Loop) -> None:
     def main() -> None:
-        with socket.create_server(HERE) as server:
-            nobody = server.getsockname()
+        with socket.create_server(LOOPBACK) as server:
+            refused_address = server.getsockname()
         with pytest.raises(ConnectionRefusedError):
-            Stream.connect(loop, nobody, 1)
-        with socket.socket() as full:  # a backlog of none: further connects hang
-            full.bind(HERE)
-            full.listen(0)
+            Stream.connect(loop, refused_address, 1)
+        with socket.socket() as full_listener:  # with a backlog of 0, further connects hang
+            full_listener.bind(LOOPBACK)
+            full_listener.listen(0)
             fillers = []
             for _ in range(4):
                 filler = socket.socket()
                 filler.setblocking(False)
-                filler.connect_ex(full.getsockname())
+                filler.connect_ex(full_listener.getsockname())
                 fillers.append(filler)
             with pytest.raises(TimedOut):
-                Stream.connect(loop, full.getsockname(), 0.05)
+                Stream.connect(loop, full_listener.getsockname(), 0.05)
             for filler in fillers:
                 filler.close()
-        stream, far = pair(loop)
-        far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        far.close()
+        stream, peer = connect_pair(loop)
+        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        peer.close()
         with pytest.raises(ConnectionResetError):
             stream.read(1)
 
     loop.run(main)
 
 
-def test_readiness_that_was_taken_by_another_reader_is_waited_for_again(loop: Loop) -> None:
-    """EAGAIN after readiness: the wake-up is spurious, the read goes on waiting."""
+def test_a_read_continues_to_wait_after_a_spurious_wake_up(loop: Loop) -> None:
+    """A read that gets EAGAIN after a wake-up, as another reader took the data, waits again."""
 
     def main() -> bytes:
-        stream, far = pair(loop)
+        stream, peer = connect_pair(loop)
         reader = loop.spawn(stream.read, 1)
         loop.yield_turn()
         stream.port.waiters[READ].wake()  # type: ignore[attr-defined]
         loop.sleep(0.01)
         assert not reader.done
-        far.sendall(b"now")
+        peer.sendall(b"now")
         return bytes(reader.join())
 
     assert loop.run(main) == b"now"
 
 
-def test_no_descriptors_left_at_accept_waits_without_spinning_and_loses_none(loop: Loop) -> None:
-    # It was reset, with the request that it may hold; a request that the system has taken is owed its answer.
+def test_accept_without_free_descriptors_neither_spins_nor_loses_connections(loop: Loop) -> None:
+    # The failure: the connection was reset, along with the request that it may hold. A request that the
+    # system has accepted must get a response.
     served: list[Stream] = []
 
     def main() -> None:
-        listener = Listener(loop, HERE, 100)
+        listener = Listener(loop, LOOPBACK, 100)
 
         def serve(stream: Stream) -> None:
             served.append(stream)
@@ -132,10 +133,10 @@
 
         loop.spawn(listener.serve, serve, "echo")
         loop.yield_turn()
-        one, two = socket.socket(), socket.socket()
+        first, second = socket.socket(), socket.socket()
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        used = max(int(name) for name in os.listdir("/proc/self/fd"))
-        resource.setrlimit(resource.RLIMIT_NOFILE, (used + 1, hard))
+        highest_fd = max(int(name) for name in os.listdir("/proc/self/fd"))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (highest_fd + 1, hard))
         fillers: list[int] = []
         try:
             while True:
@@ -144,31 +145,31 @@
             pass
         rounds = loop.rounds
         try:
-            one.connect(listener.address)
-            one.sendall(b"a request")
+            first.connect(listener.address)
+            first.sendall(b"a request")
             loop.sleep(0.2)
-            one.setblocking(False)
+            first.setblocking(False)
             with pytest.raises(BlockingIOError):
-                one.recv(1)
+                first.recv(1)
             assert loop.rounds - rounds < 40 and not served
         finally:
             for fd in fillers:
                 os.close(fd)
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        two.connect(listener.address)
+        second.connect(listener.address)
         loop.sleep(0.1)
-        assert [stream.peer for stream in served] == [one.getsockname(), two.getsockname()]
+        assert [stream.peer for stream in served] == [first.getsockname(), second.getsockname()]
         assert reports[0][0] == "accept_failed" and len(reports) < 6
-        one.close()
-        two.close()
+        first.close()
+        second.close()
         listener.drop()
 
     loop.run(main)
 
 
-def test_stopped_handshakes_leave_the_backlog_and_open_connections_as_they_are(loop: Loop) -> None:
+def test_stopping_handshakes_keeps_the_backlog_and_open_connections(loop: Loop) -> None:
     def main() -> None:
-        listener = Listener(loop, HERE, 100)
+        listener = Listener(loop, LOOPBACK, 100)
         served = list[bytes]()
 
         def serve(stream: Stream) -> None:
@@ -177,93 +178,97 @@
                 stream.write(data)
 
         loop.spawn(listener.serve, serve, "echo")
-        open_before, waiting = socket.create_connection(listener.address), socket.socket()
+        open_client, queued_client = socket.create_connection(listener.address), socket.socket()
         loop.sleep(0.01)
-        waiting.connect(listener.address)  # in the backlog as the handshakes stop
-        assert not listener.finish()
-        late = socket.socket()
-        late.setblocking(False)
-        assert late.connect_ex(listener.address) in (errno.EINPROGRESS, errno.ECONNREFUSED)
-        for client in (open_before, waiting):
+        queued_client.connect(listener.address)  # is in the backlog when handshakes are stopped
+        assert not listener.close_gracefully()
+        late_client = socket.socket()
+        late_client.setblocking(False)
+        assert late_client.connect_ex(listener.address) in (errno.EINPROGRESS, errno.ECONNREFUSED)
+        for client in (open_client, queued_client):
             client.sendall(b"a" * 20_000)
             client.setblocking(False)
         loop.sleep(0.2)
-        assert listener.finish() and sum(map(len, served)) == 40_000 and len(listener.open) == 2
-        for client in (open_before, waiting):
+        assert (
+            listener.close_gracefully()
+            and sum(map(len, served)) == 40_000
+            and len(listener.open_streams) == 2
+        )
+        for client in (open_client, queued_client):
             client.recv(100)
-            client.shutdown(socket.SHUT_WR)  # FIN without SYN passes as well
+            client.shutdown(socket.SHUT_WR)  # only a SYN is refused: a FIN arrives as well
         loop.sleep(0.05)
-        assert not listener.open
-        with pytest.raises(OSError):  # refused, and no byte of it taken
-            late.send(b"x")
-        for client in (open_before, waiting, late):
+        assert not listener.open_streams
+        with pytest.raises(OSError):  # the connect was refused and no byte was accepted
+            late_client.send(b"x")
+        for client in (open_client, queued_client, late_client):
             client.close()
 
     loop.run(main)
 
 
-def test_a_full_listener_takes_the_next_when_one_ends(loop: Loop) -> None:
+def test_a_full_listener_accepts_the_next_connection_when_one_ends(loop: Loop) -> None:
     seen: list[bytes] = []
 
     def main() -> None:
-        listener = Listener(loop, HERE, 1)
+        listener = Listener(loop, LOOPBACK, 1)
         loop.spawn(listener.serve, lambda stream: seen.append(stream.read(1)), "door")
-        one, two = socket.create_connection(listener.address), socket.create_connection(listener.address)
-        two.sendall(b"second")
+        first, second = socket.create_connection(listener.address), socket.create_connection(listener.address)
+        second.sendall(b"second")
         loop.sleep(0.02)
-        assert seen == [] and len(listener.open) == 1
-        one.sendall(b"first")
+        assert seen == [] and len(listener.open_streams) == 1
+        first.sendall(b"first")
         loop.sleep(0.05)
         assert seen == [b"first", b"second"]
-        one.close()
-        two.close()
+        first.close()
+        second.close()
         listener.drop()
 
     loop.run(main)
 
 
-def test_a_stop_signal_in_the_middle_of_a_write_does_not_tear_it(loop: Loop) -> None:
-    told: list[str] = []
+def test_a_signal_during_a_write_does_not_truncate_it(loop: Loop) -> None:
+    received_signals: list[str] = []
 
     def main() -> None:
-        stream, far = pair(loop)
-        loop.driver.on_signal(signal.SIGTERM, lambda: told.append("stop"))
+        stream, peer = connect_pair(loop)
+        loop.driver.on_signal(signal.SIGTERM, lambda: received_signals.append("stop"))
         data = os.urandom(1 << 16) * 160
         writer = loop.spawn(stream.write, data, 5)
         loop.sleep(0.01)
         assert not writer.done
         os.kill(os.getpid(), signal.SIGTERM)
         loop.sleep(0.01)
-        assert told == ["stop"] and not writer.done
-        got = bytearray()
-        far.setblocking(False)
-        while len(got) < len(data):
+        assert received_signals == ["stop"] and not writer.done
+        received = bytearray()
+        peer.setblocking(False)
+        while len(received) < len(data):
             try:
-                got += far.recv(1 << 20)
+                received += peer.recv(1 << 20)
             except BlockingIOError:
                 loop.sleep(0.001)
         writer.join()
-        assert got == data and stream.sent == len(data)
-        far.close()
+        assert received == data and stream.sent == len(data)
+        peer.close()
 
     loop.run(main)
 
 
-def test_a_peer_that_reads_nothing_ends_the_write_at_its_bound(loop: Loop) -> None:
+def test_a_write_to_a_peer_that_does_not_read_times_out(loop: Loop) -> None:
     def main() -> int:
-        stream, far = pair(loop)
+        stream, peer = connect_pair(loop)
         with pytest.raises(TimedOut):
             stream.write(bytes(1 << 24), 0.05)
-        far.close()
+        peer.close()
         return stream.sent
 
     assert 0 < loop.run(main) < 1 << 24
 
 
-def test_a_hung_up_peer_nobody_listens_to_does_not_spin(loop: Loop) -> None:
+def test_a_hung_up_peer_without_a_waiter_does_not_make_the_loop_spin(loop: Loop) -> None:
     def main() -> int:
-        stream, far = pair(loop)
-        far.close()
+        stream, peer = connect_pair(loop)
+        peer.close()
         with pytest.raises(TimedOut):
             loop.park(loop.waiter(), "nothing", 0.05)
         rounds = loop.rounds
@@ -274,15 +279,15 @@
     assert loop.run(main) < 10
 
 
-def test_datagrams_to_nobody_are_lost_and_harm_nothing(loop: Loop) -> None:
+def test_a_datagram_to_a_closed_port_is_lost_without_an_error(loop: Loop) -> None:
     def main() -> tuple[bytes, bool]:
-        one, two = Datagrams(loop, HERE), Datagrams(loop, HERE)
-        gone = Datagrams(loop, HERE)
-        gone.close()
-        assert one.send(b"lost", gone.address)
+        sender, receiver = Datagrams(loop, LOOPBACK), Datagrams(loop, LOOPBACK)
+        closed = Datagrams(loop, LOOPBACK)
+        closed.close()
+        assert sender.send(b"lost", closed.address)
         loop.sleep(0.01)
-        assert one.send(b"heard", two.address)
-        data, peer = two.receive(1)
-        return data, peer == one.address
+        assert sender.send(b"heard", receiver.address)
+        data, peer = receiver.receive(1)
+        return data, peer == sender.address
 
     assert loop.run(main) == (b"heard", True)
--- a/tests/loop/test_tasks.py
+++ b/tests/loop/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks, cancellation, scopes, timers: the scheduler without sockets, on a clock moved by hand."""
+"""Tasks, cancellation, timeouts and timers: the scheduler without sockets, on a manual clock."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 )
 
 
-class HandClock(PollDriver):
-    """Time moves only where the loop would have waited for it."""
+class ManualClockDriver(PollDriver):
+    """A driver whose clock advances by the timeout of each poll, without waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,7 +39,7 @@
 
 @pytest.fixture()
 def loop() -> Iterator[Loop]:
-    driver = HandClock()
+    driver = ManualClockDriver()
     loop = Loop(driver, lambda event, **fields: reports.append((event, fields)))
     reports.clear()
     yield loop
@@ -49,7 +49,7 @@
 reports: list[tuple[str, dict[str, Any]]] = []
 
 
-def test_cancel_is_raised_once_and_a_finally_may_still_wait(loop: Loop) -> None:
+def test_cancelled_is_raised_once_and_a_finally_block_may_still_wait(loop: Loop) -> None:
     seen: list[str] = []
 
     def worker() -> None:
@@ -71,7 +71,7 @@
     assert loop.run(main) == 1002.0 and seen == ["ended", "tidied"] and reports == []
 
 
-def test_a_clean_up_that_waits_too_long_is_ended_and_reported(loop: Loop) -> None:
+def test_a_cleanup_that_waits_too_long_is_ended_and_reported(loop: Loop) -> None:
     ends: list[str] = []
 
     def worker() -> None:
@@ -94,31 +94,32 @@
     assert ends == ["expired"] and loop.now() == 1006.0 and reports[0][0] == "task_cleanup_overran"
 
 
-def test_what_is_posted_after_the_end_goes_to_nobody() -> None:
-    # A disk's thread may end its write after the loop: the pipe's number may be another file's by then.
+def test_a_callback_posted_after_shutdown_writes_to_no_descriptor() -> None:
+    # A thread that writes to disk may finish after the loop has ended. By then, another file may have the
+    # descriptor number of the wakeup pipe.
     driver = PollDriver()
     driver.shutdown()
     read_end, write_end = os.pipe()
-    others = [os.dup(write_end) for _ in range(4)]
+    other_fds = [os.dup(write_end) for _ in range(4)]
     driver.call_threadsafe(lambda: None)
     os.set_blocking(read_end, False)
     with pytest.raises(BlockingIOError):
         os.read(read_end, 1)
-    for fd in (read_end, write_end, *others):
+    for fd in (read_end, write_end, *other_fds):
         os.close(fd)
 
 
-def test_cancel_that_races_with_a_result_keeps_the_result(loop: Loop) -> None:
-    """What was handed over in the same round is not lost; the cancel comes at the next wait."""
-    got: list[object] = []
+def test_a_cancel_that_races_with_a_result_keeps_the_result(loop: Loop) -> None:
+    """A result that arrives in the same round is not lost, and Cancelled is raised at the next wait."""
+    received: list[object] = []
     channel: Channel[int] = Channel(loop, 1)
 
     def worker() -> None:
-        got.append(channel.get())
+        received.append(channel.get())
         try:
             loop.sleep(1)
         except Cancelled:
-            got.append("cancelled")
+            received.append("cancelled")
             raise
 
     def main() -> None:
@@ -129,22 +130,22 @@
         task.join()
 
     loop.run(main)
-    assert got == [7, "cancelled"]
+    assert received == [7, "cancelled"]
 
 
-def test_a_task_cancelled_before_its_first_turn_never_begins(loop: Loop) -> None:
-    began: list[int] = []
+def test_a_task_cancelled_before_its_first_turn_never_starts(loop: Loop) -> None:
+    calls: list[int] = []
 
     def main() -> None:
-        task = loop.spawn(began.append, 1)
+        task = loop.spawn(calls.append, 1)
         task.cancel()
         task.join()
 
     loop.run(main)
-    assert began == []
+    assert calls == []
 
 
-def test_scopes_nest_and_the_outer_one_passes_through_the_inner(loop: Loop) -> None:
+def test_an_outer_timeout_that_expires_passes_through_the_inner_one(loop: Loop) -> None:
     def main() -> tuple[bool, bool, float]:
         with loop.timeout(2) as outer, loop.timeout(5) as inner:
             loop.sleep(100)
@@ -153,39 +154,39 @@
     assert loop.run(main) == (True, False, 1002.0)
 
 
-def test_a_scope_that_ran_out_without_a_wait_is_raised_at_the_next_one(loop: Loop) -> None:
+def test_a_timeout_that_expires_without_a_wait_is_raised_at_the_next_wait(loop: Loop) -> None:
     def main() -> bool:
         driver = loop.driver
-        assert isinstance(driver, HandClock)
-        with loop.timeout(1) as scope:
+        assert isinstance(driver, ManualClockDriver)
+        with loop.timeout(1) as timeout_scope:
             driver.time += 5  # a long computation
             loop.yield_turn()
             loop.sleep(0)
             return False
-        return scope.expired
+        return timeout_scope.expired
 
     assert loop.run(main) is True
 
 
-def test_a_bound_of_one_wait_does_not_end_the_scope_around_it(loop: Loop) -> None:
+def test_the_timeout_of_one_wait_does_not_end_the_block_around_it(loop: Loop) -> None:
     def main() -> bool:
         event = Event(loop)
-        with loop.timeout(10) as scope:
+        with loop.timeout(10) as timeout_scope:
             with pytest.raises(TimedOut):
-                event.wait(within=1)
+                event.wait(timeout=1)
             loop.sleep(1)
-        return scope.expired
+        return timeout_scope.expired
 
     assert loop.run(main) is False
 
 
-def test_timers_past_and_cancelled(loop: Loop) -> None:
+def test_timers_that_are_cancelled_or_set_for_the_past(loop: Loop) -> None:
     fired: list[int] = []
 
     def main() -> None:
         timers = [loop.call_later(1 + i / 1e6, lambda i=i: fired.append(i)) for i in range(100_000)]  # type: ignore[misc]
-        for at, timer in enumerate(timers):
-            if at % 100:
+        for index, timer in enumerate(timers):
+            if index % 100:
                 timer.cancel()
         assert len(loop.timers) == 1000 and len(loop.timers.heap) <= 2000
         loop.call_at(loop.now() - 50, lambda: fired.append(-1))
@@ -216,44 +217,44 @@
     assert turns == ["timer", "turn", "turn", "turn"] or turns == ["turn", "timer", "turn", "turn"]
 
 
-def test_a_slow_turn_is_reported_with_its_name(loop: Loop) -> None:
-    def hog() -> None:
+def test_a_slow_turn_is_reported_with_the_name_of_its_task(loop: Loop) -> None:
+    def run_long() -> None:
         driver = loop.driver
-        assert isinstance(driver, HandClock)
+        assert isinstance(driver, ManualClockDriver)
         driver.time += 0.7
 
-    loop.run(lambda: loop.spawn(hog, name="hog").join())
-    assert [(e, f["task"]) for e, f in reports] == [("task_slow", "hog")]
+    loop.run(lambda: loop.spawn(run_long, name="run_long").join())
+    assert [(e, f["task"]) for e, f in reports] == [("task_slow", "run_long")]
 
 
-def test_a_dying_task_is_reported_and_takes_the_loop_along_only_if_asked(loop: Loop) -> None:
-    def dies() -> None:
-        raise ValueError("no such box")
+def test_a_failed_task_is_reported_and_ends_the_loop_only_if_essential(loop: Loop) -> None:
+    def fails() -> None:
+        raise ValueError("no such server")
 
     def main(essential: bool) -> None:
-        loop.spawn(dies, name="dies", essential=essential)
+        loop.spawn(fails, name="fails", essential=essential)
         loop.sleep(1)
 
     loop.run(main, False)
-    assert reports[0][0] == "task_failed" and "no such box" in reports[0][1]["trace"]
-    with pytest.raises(ValueError, match="no such box"):
+    assert reports[0][0] == "task_failed" and "no such server" in reports[0][1]["trace"]
+    with pytest.raises(ValueError, match="no such server"):
         loop.run(main, True)
 
 
-def test_join_raises_the_error_and_a_bounded_join_times_out(loop: Loop) -> None:
-    def dies() -> None:
+def test_join_raises_the_error_of_the_task_and_can_time_out(loop: Loop) -> None:
+    def fails() -> None:
         raise KeyError("x")
 
     def main() -> None:
         with pytest.raises(KeyError):
-            loop.spawn(dies).join()
+            loop.spawn(fails).join()
         with pytest.raises(TimedOut):
-            loop.spawn(loop.sleep, 10).join(within=1)
+            loop.spawn(loop.sleep, 10).join(timeout=1)
 
     loop.run(main)
 
 
-def test_dump_names_what_each_task_waits_on(loop: Loop) -> None:
+def test_list_tasks_names_what_each_task_waits_for(loop: Loop) -> None:
     def main() -> list[tuple[str, str]]:
         loop.spawn(Event(loop).wait, name="door")
         loop.yield_turn()
@@ -264,7 +265,7 @@
 
 def test_a_channel_is_bounded_and_closing_wakes_both_sides(loop: Loop) -> None:
     channel: Channel[int] = Channel(loop, 2)
-    got: list[object] = []
+    received: list[object] = []
 
     def producer() -> None:
         for number in range(5):
@@ -274,9 +275,9 @@
     def consumer() -> None:
         while True:
             try:
-                got.append(channel.get())
+                received.append(channel.get())
             except Closed:
-                got.append("closed")
+                received.append("closed")
                 return
 
     def main() -> None:
@@ -287,32 +288,32 @@
         task.join()
 
     loop.run(main)
-    assert got == [0, 1, 2, 3, 4, "closed"]
+    assert received == [0, 1, 2, 3, 4, "closed"]
 
 
-@pytest.mark.parametrize("cancelled_first", [True, False])
-def test_a_semaphore_loses_no_place_when_a_waiter_is_cancelled(loop: Loop, cancelled_first: bool) -> None:
-    gate = Semaphore(loop, 1)
-    held: list[str] = []
+@pytest.mark.parametrize("cancel_first", [True, False])
+def test_a_semaphore_loses_no_permit_when_a_waiter_is_cancelled(loop: Loop, cancel_first: bool) -> None:
+    semaphore = Semaphore(loop, 1)
+    acquired_by: list[str] = []
 
-    def holder(name: str) -> None:
-        with gate:
-            held.append(name)
+    def acquire_and_release(name: str) -> None:
+        with semaphore:
+            acquired_by.append(name)
 
     def main() -> None:
-        gate.acquire()
-        one, two = loop.spawn(holder, "one"), loop.spawn(holder, "two")
+        semaphore.acquire()
+        first, second = loop.spawn(acquire_and_release, "one"), loop.spawn(acquire_and_release, "two")
         loop.yield_turn()
-        steps: list[Callable[[], object]] = [one.cancel, gate.release]
-        for step in steps if cancelled_first else steps[::-1]:
+        steps: list[Callable[[], object]] = [first.cancel, semaphore.release]
+        for step in steps if cancel_first else steps[::-1]:
             step()
-        two.join()
+        second.join()
 
     loop.run(main)
-    assert "two" in held and gate.free == 1
+    assert "two" in acquired_by and semaphore.available == 1
 
 
-def test_what_is_left_at_the_end_is_cancelled(loop: Loop) -> None:
+def test_tasks_left_at_the_end_of_the_main_task_are_cancelled(loop: Loop) -> None:
     ended: list[str] = []
 
     def worker() -> None:
--- a/tests/platform/test_instance.py
+++ b/tests/platform/test_instance.py
@@ -114,7 +114,9 @@
         rig.loop.sleep(0.1)
         for at in range(5):
             assert rig.ask(mark=f"a{at}").status == 200
-        assert rig.application.listener.listener and len(rig.application.listener.listener.open) <= most
+        assert (
+            rig.application.listener.listener and len(rig.application.listener.listener.open_streams) <= most
+        )
         for one in crowd:
             one.close()
 
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -41,7 +41,7 @@
     def test(rig: Rig) -> None:
         while not all(server.seen for server in rig.servers):
             assert rig.request("GET", "/look").status == 200
-        used_streams = {stream for server in rig.servers for stream in server.listener.open}
+        used_streams = {stream for server in rig.servers for stream in server.listener.open_streams}
 
         def close_reused_connections(
             server: ScriptedServer, stream: Stream, request: Request, connection: ServerConnection
@@ -70,7 +70,7 @@
 
     def test(rig: Rig) -> None:
         assert rig.request("POST", "/pay", b"{}").status == 200
-        for stream in tuple(rig.servers[0].listener.open):
+        for stream in tuple(rig.servers[0].listener.open_streams):
             stream.close()
         rig.loop.sleep(0.01)
         assert rig.request("POST", "/pay", b"{}").status == 200
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -120,7 +120,7 @@
         sock.sendall(GET_REQUEST_HEAD + b"request-timeout: 0.5\r\n\r\n")
         rig.loop.sleep(0.8)
         assert "client_read_too_slowly" in rig.log.events()
-        assert rig.application.listener.listener and not rig.application.listener.listener.open
+        assert rig.application.listener.listener and not rig.application.listener.listener.open_streams
         sock.close()
 
     Rig(tmp_path, test, [answers(200, bytes(12 << 20))], "door {\n    body 16m\n}")
--- a/tests/proxy/test_streaming.py
+++ b/tests/proxy/test_streaming.py
@@ -65,11 +65,11 @@
         queued_parts = in_flight.response.body_stream.parts.items  # type: ignore[attr-defined]
         assert sum(map(len, queued_parts)) <= 5 * 65536
         server = rig.servers[0].listener
-        assert next(iter(server.open)).sent < 15 << 20  # the server could not send all of its 16 MiB
+        assert next(iter(server.open_streams)).sent < 15 << 20  # the server could not send all of its 16 MiB
         rig.loop.sleep(1.3)
         assert "client_read_too_slowly" in rig.log.events()
         rig.loop.sleep(0.1)
-        assert rig.application.host.in_flight == {} and not server.open
+        assert rig.application.host.in_flight == {} and not server.open_streams
         stream.close()
 
     Rig(tmp_path, test, [answers(200, bytes(16 << 20))], "door {\n    body 32m\n    hold 32k\n}")
--- a/tests/simulation/test_network.py
+++ b/tests/simulation/test_network.py
@@ -187,7 +187,7 @@
 
 def test_a_close_over_unread_bytes_is_a_reset_and_a_close_behind_read_ones_an_end() -> None:
     def rude(stream: Stream) -> None:
-        stream.read(1.0, most=1)
+        stream.read(1.0, max_bytes=1)
 
     def near(loop: Loop) -> None:
         stream = Stream.connect(loop, AT, 1.0)
@@ -425,9 +425,9 @@
         listener = Listener(loop, AT, 100)
         loop.spawn(listener.serve, lambda stream: seen.append(stream.read()), "peer")
         loop.sleep(1.0)
-        assert not listener.finish()
+        assert not listener.close_gracefully()
         loop.sleep(5.0)
-        assert listener.finish()
+        assert listener.close_gracefully()
 
     def near(loop: Loop) -> None:
         loop.sleep(0.5)
