--- a/bench/replay_days.py
+++ b/bench/replay_days.py
@@ -29,8 +29,8 @@
     ("canary.py", "REJECTED_GAP = 0.15 ", "REJECTED_GAP = 0.14 "),
     ("server.py", "BASE_EJECTION_TIME = 0.5 ", "BASE_EJECTION_TIME = 0.55 "),
     ("admission.py", "PRIOR_LATENCY_SHARE = 0.2 ", "PRIOR_LATENCY_SHARE = 0.21 "),
-    ("canary.py", "LEAST_OUTCOMES = 6 ", "LEAST_OUTCOMES = 7 "),
-    ("voting.py", "RENEWAL = 0.7 ", "RENEWAL = 0.8 "),
+    ("canary.py", "MIN_OUTCOMES = 6 ", "MIN_OUTCOMES = 7 "),
+    ("voting.py", "RENEWAL_SHARE = 0.7 ", "RENEWAL_SHARE = 0.8 "),
     ("request.py", "MIN_REMAINING_LATENCIES = 2.0 ", "MIN_REMAINING_LATENCIES = 2.5 "),
 )
 
--- a/stepsail/capture/explain.py
+++ b/stepsail/capture/explain.py
@@ -9,7 +9,7 @@
 
 from stepsail.capture.entries import Command, Entry, Event, entry_lines
 from stepsail.capture.replay_host import ReplayHost
-from stepsail.decisions.canary import ACCEPTED_GAP, LEAST_OUTCOMES, REJECTED_GAP
+from stepsail.decisions.canary import ACCEPTED_GAP, MIN_OUTCOMES, REJECTED_GAP
 from stepsail.decisions.evidence import log_evidence
 from stepsail.decisions.interface import EndpointState, ReleasePhase
 from stepsail.decisions.pause import LATENCY_EDGES
@@ -65,11 +65,12 @@
         f"build {canary.build}, stage {canary.stage}, exposure limit {router.release.limit:.3f}, for "
         f"{host.clock - canary.started_at:.1f} s; settled: {'yes' if canary.settled() else 'no'}; "
         f"verdict so far: {canary.ballot.verdict.name.lower()}",
-        f"outcomes: {evidence.outcomes:.0f} of the new build, {evidence.baseline_outcomes:.0f} of earlier ones",
+        f"outcomes: {evidence.outcome_count:.0f} of the new build, "
+        f"{evidence.baseline_outcome_count:.0f} of earlier ones",
         f"gap {evidence.gap:.3f} with radius {evidence.radius:.3f}: rolled back above {REJECTED_GAP} without the "
         f"radius ({rejected:+.3f}), promoted below {ACCEPTED_GAP} with it ({accepted:+.3f}) or from "
-        f"{LEAST_OUTCOMES} outcomes",
-        f"failures: log evidence {evidence.failures:.2f}, rolled back above {evidence.threshold:.2f}",
+        f"{MIN_OUTCOMES} outcomes",
+        f"failures: log evidence {evidence.failure_evidence:.2f}, rolled back above {evidence.threshold:.2f}",
         f"slowness everywhere: log evidence {slowness:.2f}, paused above {evidence.threshold:.2f}",
     ]
 
--- a/stepsail/decisions/canary.py
+++ b/stepsail/decisions/canary.py
@@ -1,8 +1,8 @@
-"""The judgement of one stage of the newest build: promote it, roll it back, pause it, or go on looking.
+"""Evaluates the newest build in one release stage: promote it, roll it back, pause it, or go on observing it.
 
-A build is rolled back when its latency distribution is worse beyond the confidence radius, when its failures
-are beyond doubt more than earlier builds', or when slowness everywhere ends with a pause. It is promoted once
-the stage's servers have settled and nothing speaks against it.
+A build is rolled back if its latency distribution is worse than that of earlier builds by more than the
+confidence radius, if it fails significantly more often than they do, or if a slowdown of all builds ends when
+the build is paused. It is promoted once the stage's servers have settled and there is no evidence against it.
 """
 
 from __future__ import annotations
@@ -20,31 +20,42 @@
 if TYPE_CHECKING:
     from stepsail.decisions.router import Router
 
-REJECTED_GAP = 0.15  # excess of the earlier distribution, less the radius, from which a build is rolled back
-ACCEPTED_GAP = 0.1  # the same, with the radius, up to which it is as good
-LEAST_OUTCOMES = 6  # of the new build that are enough to promote where nothing speaks against it
-DOUBT = 1.0  # log evidence against a build from which it is not promoted
-STAGE_SETTLING = 3.7  # s from the newest server's start until a build may be promoted
-LONGEST_STAGE_START = 11.7  # s after which a stage counts as complete though servers are missing
-ROUNDING = 1e-6  # so that a share of places that is whole is not rounded up
+REJECTED_GAP = 0.15  # a build is rolled back if its gap minus the confidence radius is larger
+ACCEPTED_GAP = 0.1  # a build may be promoted if its gap plus the confidence radius is smaller
+MIN_OUTCOMES = 6  # outcomes of the new build that suffice to promote it if there is no evidence against it
+SUSPICION_THRESHOLD = 1.0  # log evidence of more failures from which a build is suspect and is not promoted
+STAGE_SETTLING_TIME = 3.7  # s from the newest server's start until a build may be promoted
+STAGE_START_TIMEOUT = 11.7  # s after which a stage counts as complete even if servers are missing
+ROUNDING_TOLERANCE = 1e-6  # keeps a share that is a whole number of servers from being rounded up
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What speaks against the build: the gap of the distributions, and log evidence of more failures."""
+    """The evidence against a build: the gap between latency distributions, and log evidence of more failures.
+
+    Attributes:
+        gap: Largest excess of the baseline's distribution function over the build's.
+        radius: Confidence radius of the gap.
+        outcome_count: Outcomes of the build.
+        baseline_outcome_count: Outcomes of earlier builds, in the classes that both have served.
+        failure_evidence: Log evidence that the build fails more often than earlier builds.
+        failure_evidence_elsewhere: The same without the server that fails most, which may be at fault alone.
+        counted_failure_evidence: The same by release control's counts, which include losses on the network.
+        threshold: Log evidence that counts as proof.
+    """
 
     gap: float
     radius: float
-    outcomes: float  # of the build
-    baseline_outcomes: float  # of earlier builds, in the classes that both have served
-    failures: float
-    failures_elsewhere: float  # without the server that fails most: it may be the server's fault alone
-    counted_failures: float  # by release control's counts, which hold losses on the way too
-    threshold: float  # log evidence that is proof
+    outcome_count: float
+    baseline_outcome_count: float
+    failure_evidence: float
+    failure_evidence_elsewhere: float
+    counted_failure_evidence: float
+    threshold: float
 
 
 class Canary:
-    """One stage of a build, with the outcomes of it and of earlier builds."""
+    """One stage of a build, with the outcomes of this build and of earlier builds."""
 
     def __init__(
         self, router: Router, build: int, stage: int, phase: ReleasePhase, started_at: float
@@ -57,7 +68,7 @@
         self.outcomes: HistogramsByClass = {}  # of the build, in this stage
         self.baseline: HistogramsByClass = {}  # of earlier builds, in this stage
         self.long_baseline: HistogramsByClass = {}  # of earlier builds, over all stages
-        self.finding = Verdict.NONE  # by this instance's own evidence
+        self.finding = Verdict.NONE  # the verdict that this instance's own evidence supports
         self.ballot = Ballot(router)
         self.pause = PauseExperiment(router)
         previous = router.canary
@@ -66,121 +77,148 @@
             self.pause.times_helped = previous.pause.times_helped
 
     def discard_evidence(self) -> None:
-        """Forget the stage's outcomes, which were not the builds' doing."""
+        """Discard the stage's outcomes, as something other than the builds caused them."""
         self.outcomes = {}
         self.baseline = {}
 
     def review(self) -> None:
-        """Judge the build if there is anything new, and cast the vote if it is due."""
+        """Evaluate the build if there are new outcomes, and cast the vote if it is due."""
         router = self.router
         if self.ballot.verdict is not Verdict.ROLL_BACK and router.observations.changed:
-            self.finding = self.judge(self.settled())
+            self.finding = self.evaluate(self.settled())
             router.observations.changed = False
             if router.voting.may_promote or self.finding is not Verdict.PROMOTE:
-                self.ballot.reach(self.finding, from_peer=False)
+                self.ballot.adopt(self.finding, from_peer=False)
         self.ballot.cast_if_due(self.build, self.stage)
 
-    def judge(self, is_settled: bool) -> Verdict:
-        """What this instance's evidence says. `is_settled`: the stage may be promoted."""
+    def evaluate(self, is_settled: bool) -> Verdict:
+        """Return the verdict that this instance's evidence supports.
+
+        Args:
+            is_settled: Whether the stage's servers have settled, so that the build may be promoted.
+        """
         evidence = self.evidence()
         if self._must_roll_back(evidence):
             self.router.host.log_decision(
-                f"back: gap {evidence.gap:.2f} ± {evidence.radius:.2f}, faults {evidence.failures:.1f}, "
-                f"counts {evidence.counted_failures:.1f}"
+                f"back: gap {evidence.gap:.2f} ± {evidence.radius:.2f}, "
+                f"faults {evidence.failure_evidence:.1f}, counts {evidence.counted_failure_evidence:.1f}"
             )
             return Verdict.ROLL_BACK
-        slowness, slow_latencies = self._slowness_everywhere()
+        slowdown_evidence, slow_latencies = self._overall_slowdown()
         if self.pause.started_at:
-            return self.pause.judge(slowness, evidence.threshold, self.started_at + LONGEST_STAGE_START)
+            return self.pause.evaluate(
+                slowdown_evidence, evidence.threshold, self.started_at + STAGE_START_TIMEOUT
+            )
         can_pause = self._can_pause()
-        if slowness > evidence.threshold and can_pause and self.settled(self._servers_warm_after()):
+        if slowdown_evidence > evidence.threshold and can_pause and self.settled(self._warm_up_time()):
             self.pause.start(slow_latencies)
             return Verdict.NONE
-        is_slow = can_pause and slowness >= evidence.threshold / 2
+        is_slow = can_pause and slowdown_evidence >= evidence.threshold / 2
         if is_settled and not is_slow and self._may_promote(evidence):
             return Verdict.PROMOTE
         return Verdict.NONE
 
     def evidence(self) -> Evidence:
-        """The evidence against the build as it stands."""
+        """Compute the evidence against the build from the outcomes so far."""
         router = self.router
         alpha = router.voting.alpha
-        keeps_baseline = self.phase is ReleasePhase.RELEASED or router.settings.replaces_servers
-        gap = largest_gap(self.long_baseline if keeps_baseline else self.baseline, self.outcomes)
+        uses_long_baseline = self.phase is ReleasePhase.RELEASED or router.settings.replaces_servers
+        gap = largest_gap(self.long_baseline if uses_long_baseline else self.baseline, self.outcomes)
         by_server = [s.outcomes for s in router.pool.servers if s.build == self.build and s.outcomes]
         by_server.sort(key=lambda outcomes: sum(h.bins[-1] for h in outcomes.values()))
-        failures = log_evidence(self.long_baseline, merge(by_server), (FAILURE_EDGE,))
-        elsewhere = failures
+        failure_evidence = log_evidence(self.long_baseline, merge(by_server), (FAILURE_EDGE,))
+        failure_evidence_elsewhere = failure_evidence
         if len(by_server) > 1:
-            elsewhere = log_evidence(self.long_baseline, merge(by_server[:-1]), (FAILURE_EDGE,))
+            failure_evidence_elsewhere = log_evidence(
+                self.long_baseline, merge(by_server[:-1]), (FAILURE_EDGE,)
+            )
         counts = router.observations.counts_by_build
-        counted_before = merge([c for build, c in counts.items() if build < self.build])
+        baseline_counts = merge([c for build, c in counts.items() if build < self.build])
         return Evidence(
             gap=gap.excess,
             radius=confidence_radius(gap.n, alpha / 2) + confidence_radius(gap.m, alpha / 2),
-            outcomes=gap.n,
-            baseline_outcomes=gap.m,
-            failures=failures,
-            failures_elsewhere=elsewhere,
-            counted_failures=log_evidence(counted_before, counts.get(self.build, {}), (FAILURE_EDGE,)),
+            outcome_count=gap.n,
+            baseline_outcome_count=gap.m,
+            failure_evidence=failure_evidence,
+            failure_evidence_elsewhere=failure_evidence_elsewhere,
+            counted_failure_evidence=log_evidence(
+                baseline_counts, counts.get(self.build, {}), (FAILURE_EDGE,)
+            ),
             threshold=log(2 / alpha),
         )
 
     def _must_roll_back(self, evidence: Evidence) -> bool:
-        # A stalled class fills the servers: others wait too, on the new build alone.
+        # A stalled class occupies the servers and delays other classes as well. Where the delay shows on the
+        # new build only, it still isn't the build's fault.
         if evidence.gap - evidence.radius > REJECTED_GAP and not self.router.stalls.any_stalled():
             return True
-        if evidence.failures > evidence.threshold and evidence.failures_elsewhere > 0:
+        if evidence.failure_evidence > evidence.threshold and evidence.failure_evidence_elsewhere > 0:
             return True
-        return evidence.counted_failures > log(2 / ALPHA) and evidence.failures > DOUBT
+        return (
+            evidence.counted_failure_evidence > log(2 / ALPHA)
+            and evidence.failure_evidence > SUSPICION_THRESHOLD
+        )
 
     def _may_promote(self, evidence: Evidence) -> bool:
-        is_sound = (
-            evidence.failures_elsewhere < DOUBT
-            and evidence.failures < evidence.threshold / 2
-            and evidence.counted_failures < DOUBT
+        has_few_failures = (
+            evidence.failure_evidence_elsewhere < SUSPICION_THRESHOLD
+            and evidence.failure_evidence < evidence.threshold / 2
+            and evidence.counted_failure_evidence < SUSPICION_THRESHOLD
         )
         counts = self.router.observations.counts_by_build.get(self.build, {})
-        largest_sample = max(evidence.outcomes, sum(h.count for h in counts.values()))
-        is_enough = evidence.gap + evidence.radius < ACCEPTED_GAP or largest_sample >= LEAST_OUTCOMES
-        return is_sound and is_enough and self.router.host.clock >= self.pause.promote_not_before
+        largest_sample = max(evidence.outcome_count, sum(h.count for h in counts.values()))
+        has_enough_evidence = evidence.gap + evidence.radius < ACCEPTED_GAP or largest_sample >= MIN_OUTCOMES
+        return (
+            has_few_failures
+            and has_enough_evidence
+            and self.router.host.clock >= self.pause.promote_not_before
+        )
 
-    def _slowness_everywhere(self) -> tuple[float, HistogramsByClass]:
-        """Log evidence that attempts at all builds have become slower, and the outcomes that show it most."""
+    def _overall_slowdown(self) -> tuple[float, HistogramsByClass]:
+        """Return log evidence of a slowdown of attempts at all builds, and the outcomes that show it most."""
         observations = self.router.observations
-        sides = [
-            (log_evidence(observations.normal, side, LATENCY_EDGES), side)
-            for side in (observations.recent, observations.newest)
+        samples = [
+            (log_evidence(observations.normal, sample, LATENCY_EDGES), sample)
+            for sample in (observations.recent, observations.newest)
         ]
-        return max(sides, key=lambda pair: pair[0])
+        return max(samples, key=lambda pair: pair[0])
 
     def _can_pause(self) -> bool:
         """Whether a pause may begin.
 
-        It may on canary, by those whom all follow, and if none in the stage was in vain.
+        The build must be on canary, and no pause in this stage may have failed. All other instances must
+        follow this instance's verdict: it is a judge, or there is no gossip. The servers of earlier builds
+        must be able to take over the build's load.
         """
         router = self.router
-        is_followed = router.gossip.is_judge or not router.settings.gossip_enabled
+        is_authoritative = router.gossip.is_judge or not router.settings.gossip_enabled
         return (
             self.phase is ReleasePhase.CANARY
-            and is_followed
+            and is_authoritative
             and not self.pause.failed
             and router.pool.earlier_build_suffices()
         )
 
-    def _servers_warm_after(self) -> float:
-        """Seconds from a start after which slowness is no longer the slow start's."""
-        return min(STAGE_SETTLING, self.router.settings.slow_start_duration)
+    def _warm_up_time(self) -> float:
+        """Seconds from a server's start after which the slow start no longer explains a slowdown."""
+        return min(STAGE_SETTLING_TIME, self.router.settings.slow_start_duration)
+
+    def settled(self, settling_time: float = STAGE_SETTLING_TIME) -> bool:
+        """Whether all the stage's servers are listed and were started at least `settling_time` seconds ago.
 
-    def settled(self, patience: float = STAGE_SETTLING) -> bool:
-        """Whether the stage's servers are all listed, and the newest was started `patience` seconds ago."""
+        Servers that are still missing after `STAGE_START_TIMEOUT` are not waited for any longer.
+        """
         ready = self.router.pool.ready
         settings = self.router.settings
         now = self.router.host.clock
-        started = [s.started_at for s in ready if s.build == self.build]
+        start_times = [s.started_at for s in ready if s.build == self.build]
         share = settings.stage_shares[: self.stage + 1][-1]
-        places = len(ready) if settings.replaces_servers else len(ready) - len(started)
-        is_complete = len(started) >= max(1, ceil(share * places - ROUNDING))
-        is_old = now - self.started_at >= LONGEST_STAGE_START
-        newest = max(started, default=inf)
-        return self.phase is ReleasePhase.CANARY and (is_complete or is_old) and now - newest >= patience
+        base_count = len(ready) if settings.replaces_servers else len(ready) - len(start_times)
+        is_complete = len(start_times) >= max(1, ceil(share * base_count - ROUNDING_TOLERANCE))
+        has_timed_out = now - self.started_at >= STAGE_START_TIMEOUT
+        newest_start = max(start_times, default=inf)
+        return (
+            self.phase is ReleasePhase.CANARY
+            and (is_complete or has_timed_out)
+            and now - newest_start >= settling_time
+        )
--- a/stepsail/decisions/evidence.py
+++ b/stepsail/decisions/evidence.py
@@ -1,7 +1,8 @@
-"""Sequential tests on latency distributions: is the new build worse than the earlier one?
+"""Sequential tests on latency distributions: is the new build worse than the earlier builds?
 
-The notation is the paper's ("Rapid Regression Detection in Software Deployments through Sequential Testing").
-Both tests may be looked at after every outcome without inflating the chance of a false rejection.
+The notation is that of the paper "Rapid Regression Detection in Software Deployments through Sequential
+Testing". Both tests may be evaluated after every outcome without raising the probability of a false
+rejection.
 """
 
 from __future__ import annotations
@@ -13,18 +14,20 @@
 
 from stepsail.decisions.histogram import EDGES, FAILURE_EDGE, HistogramsByClass
 
-ALPHA = 0.01  # chance of rejecting a good build
-TOLERATED_SLOWDOWN = 1.35  # times; a build whose attempts take up to so much longer is not worse
-TOLERATED_FAILURE_SHARE = 0.004  # share of attempts that fails on any build
-# Alternatives of the mixture, as excess shares: from rare faults to a class that fails.
+ALPHA = 0.01  # probability of rejecting a good build
+TOLERATED_SLOWDOWN = 1.35  # factor; a build whose attempts take at most this much longer is not worse
+TOLERATED_FAILURE_SHARE = 0.004  # share of attempts that may fail on any build
+# Alternative hypotheses of the mixture, as shares of attempts by which the new build is worse: from rare
+# faults to the failure of a whole class.
 EXCESS_SHARES = (0.04, 0.12, 0.35, 0.75)
-LARGEST_SHARE = 0.99  # bound of the earlier build's share, so that the likelihood ratio exists
+MAX_BASELINE_SHARE = 0.99  # upper bound of the baseline's share; at 1 there is no likelihood ratio
 
 
 def confidence_radius(n: float, alpha: float) -> float:
-    """Half-width of the confidence sequence on a distribution function after `n` outcomes.
+    """Return the half-width of the confidence sequence on a distribution function after `n` outcomes.
 
-    Howard and Ramdas' bound, uniform over time and over all quantiles: section 4 of the paper, equation 19.
+    This is the bound of Howard and Ramdas, uniform over time and over all quantiles: equation 19 in section 4
+    of the paper.
     """
     if n < 1:
         return 1.0
@@ -40,17 +43,18 @@
 
 
 def largest_gap(baseline: HistogramsByClass, canary: HistogramsByClass) -> Gap:
-    """Compare two builds by the classes that both have served.
+    """Compare two builds in the classes that both have served.
 
-    Classes are weighed as they are mixed in the canary's outcomes, so that a shifted mix makes no gap.
+    Classes are weighted by their shares of the canary's outcomes, so that a different mix of classes causes
+    no gap.
     """
-    shared = _shared_classes(baseline, canary)
-    n = sum(canary[c].count for c in shared)
-    m = sum(baseline[c].count for c in shared)
+    shared_classes = _shared_classes(baseline, canary)
+    n = sum(canary[c].count for c in shared_classes)
+    m = sum(baseline[c].count for c in shared_classes)
     steps = (
         sum(
             baseline[c].bins[edge] / baseline[c].count * canary[c].count - canary[c].bins[edge]
-            for c in shared
+            for c in shared_classes
         )
         / n
         for edge in range(len(EDGES) if n and m else 0)
@@ -59,34 +63,39 @@
 
 
 def log_evidence(baseline: HistogramsByClass, canary: HistogramsByClass, edges: Sequence[int]) -> float:
-    """Logarithm of a mixture of likelihood ratios against "no more of the canary's attempts pass the edges".
+    """Return the logarithm of a mixture of likelihood ratios, as evidence that the canary is worse.
 
-    It finds rare faults and one failing class, for which the confidence sequence is too wide in one stage.
-    The mixture runs over `edges` (indices) and `EXCESS_SHARES`; by Ville's inequality it ever exceeds 1/alpha
-    with a chance of alpha at the most.
+    The null hypothesis is that no larger share of the canary's attempts than of the baseline's passes the
+    edges. The test detects rare faults and the failure of a single class, for which the confidence sequence
+    is still too wide after one stage. The mixture runs over `edges` (indices) and `EXCESS_SHARES`. By Ville's
+    inequality, the probability that it ever exceeds 1/alpha is at most alpha.
     """
-    shared = _shared_classes(baseline, canary)
-    if not shared:
+    shared_classes = _shared_classes(baseline, canary)
+    if not shared_classes:
         return 0.0
-    n = sum(canary[c].count for c in shared)
-    m = sum(baseline[c].count for c in shared)
-    logs: list[float] = []
+    n = sum(canary[c].count for c in shared_classes)
+    m = sum(baseline[c].count for c in shared_classes)
+    log_ratios: list[float] = []
     for edge in edges:
-        k = sum(sum(canary[c].bins[edge + 1 :]) for c in shared)
+        k = sum(sum(canary[c].bins[edge + 1 :]) for c in shared_classes)
         share = (
-            sum(sum(baseline[c].bins[edge + 1 :]) / baseline[c].count * canary[c].count for c in shared) / n
+            sum(
+                sum(baseline[c].bins[edge + 1 :]) / baseline[c].count * canary[c].count
+                for c in shared_classes
+            )
+            / n
         )
-        upper = share + sqrt(max(0.0, share * (1 - share)) / m)
-        share = min(LARGEST_SHARE, max(TOLERATED_FAILURE_SHARE, upper) + 0.5 / m)
+        upper_share = share + sqrt(max(0.0, share * (1 - share)) / m)
+        share = min(MAX_BASELINE_SHARE, max(TOLERATED_FAILURE_SHARE, upper_share) + 0.5 / m)
         if edge != FAILURE_EDGE:
             share = share ** (1 / TOLERATED_SLOWDOWN)
-        logs += [
+        log_ratios += [
             k * log(1 + excess * (1 - share) / share) + (n - k) * log(1 - excess) for excess in EXCESS_SHARES
         ]
-    largest = max(logs)
-    return largest + log(sum(exp(x - largest) for x in logs) / len(logs))
+    largest = max(log_ratios)
+    return largest + log(sum(exp(ratio - largest) for ratio in log_ratios) / len(log_ratios))
 
 
 def _shared_classes(baseline: HistogramsByClass, canary: HistogramsByClass) -> list[int]:
-    """Classes of which both builds have outcomes."""
+    """Return the classes in which both builds have outcomes."""
     return [c for c in sorted(canary) if c in baseline and canary[c].count and baseline[c].count]
--- a/stepsail/decisions/exposure.py
+++ b/stepsail/decisions/exposure.py
@@ -1,7 +1,7 @@
-"""How many requests a build on canary may get: attempts in a sliding window against the exposure limit.
+"""Limits the attempts that a build on canary may get within a sliding window (the exposure limit).
 
-The limit is a share of the requests that came in the window, plus a burst allowance. On sites with sticky
-keys, a key that a build has answered never goes back to an earlier one.
+The limit is a share of the requests that arrived within the window, plus a burst allowance. On sites with
+sticky keys, a key that a build has answered never goes back to an earlier build.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
     from stepsail.decisions.request import Request
     from stepsail.decisions.router import Router
 
-REQUESTS_KEPT = 4000  # times of requests, for each class
-RESTART_SHARE = 0.8  # of the limit, in the first window after a start if all servers run the canary
+MAX_REQUEST_TIMES = 4000  # arrival times of requests that are kept for each class
+RESTART_LIMIT_SHARE = 0.8  # share of a limit of 100% that applies in the first window after a start
 
 
 class ReleaseState:
-    """What release control last said of the newest build."""
+    """The state of the newest build, as release control last reported it."""
 
     def __init__(self) -> None:
-        self.build = -1  # none heard of
+        self.build = -1  # -1 until release control has reported a build
         self.stage = 0
         self.phase = ReleasePhase.RELEASED
-        self.limit = 0.0  # exposure limit: share of requests that the build may get
+        self.limit = 0.0  # exposure limit: share of the requests that the build may get
 
 
 class ExposureWindow:
-    """Requests accepted, and attempts sent to builds on canary, lately."""
+    """Times of recently accepted requests, and of recent attempts sent to builds on canary."""
 
     def __init__(self) -> None:
-        self.accepted = TimestampWindow(maxlen=REQUESTS_KEPT)
+        self.accepted = TimestampWindow(maxlen=MAX_REQUEST_TIMES)
         self.sent = TimestampWindow()
 
 
@@ -50,20 +50,21 @@
         self.windows = [ExposureWindow() for _ in router.settings.request_classes]
         self.builds_by_key: dict[int, int] = {}  # the latest build that has answered a key
 
-    def of_class(self, class_index: int) -> ExposureWindow:
-        """The window that a class counts in: its own, or one for all classes."""
+    def window_for_class(self, class_index: int) -> ExposureWindow:
+        """Return the window that a class is counted in: its own, or one for all classes."""
         return self.windows[class_index if self.settings.exposure_per_class else 0]
 
     def is_canary(self, build: int) -> bool:
         """Whether a build is on canary.
 
-        Before any news, whatever is later than the earliest build listed may be.
+        Until release control has reported a build, any build later than the earliest listed one counts as on
+        canary.
         """
         release = self.release
-        latest = release.build
-        if latest < 0:
-            latest = min((s.build for s in self.router.pool.ready), default=build)
-        return build > latest or (build == release.build and release.phase is not ReleasePhase.RELEASED)
+        known_build = release.build
+        if known_build < 0:
+            known_build = min((s.build for s in self.router.pool.ready), default=build)
+        return build > known_build or (build == release.build and release.phase is not ReleasePhase.RELEASED)
 
     def may_expose(self, request: Request, build: int) -> bool:
         """Whether one more attempt of a request may go to a build on canary."""
@@ -73,7 +74,7 @@
         stage = release.stage if is_newest else 0
         limit = release.limit if is_newest else settings.exposure_limits[0]
         request_class = request.request_class
-        is_guarded = (
+        needs_idempotency = (
             stage < settings.idempotent_only_stages
             and request_class.idempotency is not Idempotency.IDEMPOTENT
         )
@@ -81,54 +82,62 @@
         burst = settings.burst_allowance
         share = 1.0
         if window_start < self.started_at:
-            # What an earlier run of this process has sent in the window is not known: it may have used all.
+            # The attempts that an earlier run of this process sent within the window are unknown: they may
+            # have used up the limit and the burst allowance. A limit of 100% means that all servers run the
+            # canary. A share of it is then allowed, as otherwise all requests would be rejected.
             burst = 0.0
-            share = RESTART_SHARE if limit >= 1 else 0.0
-        window = self.of_class(request_class.index)
+            share = RESTART_LIMIT_SHARE if limit >= 1 else 0.0
+        window = self.window_for_class(request_class.index)
         accepted = window.accepted.count_since(window_start + CLOCK_MARGIN)
-        # An attempt counts where it arrives, which may be later by the drain grace.
+        # An attempt counts at its arrival, up to `drain_grace` after it was sent.
         sent = window.sent.count_since(window_start - CLOCK_MARGIN - settings.drain_grace)
-        left = burst + share * limit * accepted - sent
-        return not (is_guarded or self.withheld()) and limit > 0 and left >= 1
+        remaining = burst + share * limit * accepted - sent
+        return not (needs_idempotency or self.withheld()) and limit > 0 and remaining >= 1
 
     def withheld(self) -> bool:
-        """Whether the build gets nothing.
+        """Whether the build on canary gets no attempts.
 
-        It does while it is paused or has to go back, and earlier servers can do its work.
+        This holds while it is paused or to be rolled back, if servers of earlier builds can take its load.
         """
         canary = self.router.canary
         is_rolling_back = self.release.phase is ReleasePhase.ROLLING_BACK
-        is_withheld = canary is not None and (
+        is_rejected_or_paused = canary is not None and (
             canary.ballot.verdict is Verdict.ROLL_BACK or self.host.clock < canary.ballot.paused_until
         )
-        return (is_rolling_back or is_withheld) and self.router.pool.earlier_build_suffices()
+        return (is_rolling_back or is_rejected_or_paused) and self.router.pool.earlier_build_suffices()
 
     # -- sticky keys -------------------------------------------------------------------------------------
 
-    def binds(self, build: int) -> bool:
-        """Whether a key stays with this build once it has answered.
+    def binds_keys(self, build: int) -> bool:
+        """Whether a key that this build has answered may no longer go to earlier builds.
 
-        It does with a canary, or with any later build.
+        This holds for a build on canary, and for any later build.
         """
         release = self.release
-        first_bound = release.build if release.phase is ReleasePhase.CANARY else release.build + 1
-        return self.settings.sticky_keys and build >= first_bound
+        first_binding_build = release.build if release.phase is ReleasePhase.CANARY else release.build + 1
+        return self.settings.sticky_keys and build >= first_binding_build
 
-    def answered(self, key: int, build: int) -> None:
-        """A build has answered a request with a key (0: without one)."""
-        if key and self.binds(build):
+    def record_answer(self, key: int, build: int) -> None:
+        """Bind a key to a build that has answered it, if the build binds keys; key 0 means no key."""
+        if key and self.binds_keys(build):
             self.builds_by_key[key] = build
 
     def forget_unbound_keys(self) -> None:
-        """Forget keys that nothing binds any more, as the release has moved.
+        """Remove keys that are no longer bound to a build, after the state of the release has changed.
 
-        Keys of a withdrawn build may go anywhere, and all once another build is offered.
+        Keys of a withdrawn build may go to any build again, and so may all keys once another build is
+        offered.
         """
-        self.builds_by_key = {key: build for key, build in self.builds_by_key.items() if self.binds(build)}
+        self.builds_by_key = {
+            key: build for key, build in self.builds_by_key.items() if self.binds_keys(build)
+        }
 
-    def least_build(self, key: int) -> int:
-        """The earliest build that a key may go to; 0 is any. Once a build is released, no key goes back."""
+    def earliest_allowed_build(self, key: int) -> int:
+        """Return the earliest build that a key may go to; 0 for any build.
+
+        Once a build is released, no key goes back to an earlier build.
+        """
         if not self.settings.sticky_keys:
             return 0
-        released = self.release.build if self.release.phase is ReleasePhase.RELEASED else 0
-        return max(released, self.builds_by_key.get(key, 0))
+        released_build = self.release.build if self.release.phase is ReleasePhase.RELEASED else 0
+        return max(released_build, self.builds_by_key.get(key, 0))
--- a/stepsail/decisions/gossip.py
+++ b/stepsail/decisions/gossip.py
@@ -1,7 +1,8 @@
-"""What instances tell each other: outcomes to a few judges, and the judges' findings to all.
+"""The messages between instances: outcomes to a few judges, and the judges' verdicts to all instances.
 
-With hundreds of instances each sees a canary's outcome every few seconds. Three judges, chosen by a hash of
-their numbers that all agree on, pool what all have seen, so that what is sent grows with the requests alone.
+In a fleet of hundreds, each instance sees an outcome of the canary only every few seconds. Three judges pool
+the outcomes of all instances. Every instance selects the same three, by a hash of the instance numbers. So
+the number of outcomes sent grows with the number of requests only.
 """
 
 from __future__ import annotations
@@ -17,35 +18,35 @@
     from stepsail.decisions.router import Router
     from stepsail.decisions.server import Server
 
-JUDGES = 3  # one or two may be cut off
+JUDGE_COUNT = 3  # of which one or two may be unreachable
 SEND_INTERVAL = 1.0  # s between messages
 
 Outcome = tuple["Server", int, int, int]  # server, build, class index, bin index
 
 
 class Gossip:
-    """One instance's outcomes that are to be sent, and who the judges are."""
+    """The outcomes that this instance has yet to send, and the judges that it sends them to."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
         self.outbox: list[Outcome] = []
         self.send_at = 0.0
-        self.judges: list[int] = []  # numbers of instances
+        self.judges: list[int] = []  # instance numbers
         self.is_judge = False
 
     def elect_judges(self, present: Sequence[int]) -> None:
-        """Choose the judges among the instances that are there; when one leaves, one is replaced."""
+        """Select the judges among the instances present; if a judge leaves, only that judge is replaced."""
         settings = self.router.settings
-        self.judges = nsmallest(JUDGES, present, lambda number: crc32(b"%d" % number))
+        self.judges = nsmallest(JUDGE_COUNT, present, lambda number: crc32(b"%d" % number))
         self.is_judge = settings.gossip_enabled and settings.instance_index in self.judges
 
     def add(self, outcome: Outcome) -> None:
-        """Enter an outcome of this instance for the judges."""
+        """Queue an outcome of this instance for the judges."""
         if self.router.settings.gossip_enabled:
             self.outbox.append(outcome)
 
     def send_if_due(self) -> None:
-        """Send outcomes to the judges; a judge sends its findings to all."""
+        """Send the queued outcomes to the judges; a judge sends its verdict and stalled classes to all."""
         router = self.router
         now = router.host.clock
         if not router.settings.gossip_enabled or now < self.send_at:
@@ -59,14 +60,14 @@
         canary = router.canary
         if self.is_judge and canary and canary.finding:
             router.host.gossip_verdict(canary.build, canary.stage, canary.finding)
-        stalled = router.stalls.stalled_classes_found()
-        if self.is_judge and stalled:
-            router.host.gossip_stalled_classes(stalled)
+        stalled_classes = router.stalls.locally_stalled_classes()
+        if self.is_judge and stalled_classes:
+            router.host.gossip_stalled_classes(stalled_classes)
 
     def verdict_received(self, peer: int, build: int, stage: int, verdict: Verdict) -> None:
-        """Take over a peer's verdict, if it is a judge's on the stage at hand.
+        """Adopt a peer's verdict if the peer is a judge and the verdict is on the current stage.
 
-        Most instances see too little to judge.
+        Instances that are not judges see too few outcomes.
         """
         router = self.router
         canary = router.canary
@@ -74,4 +75,4 @@
         if canary is None or peer not in self.judges or not is_current:
             return
         if verdict is not Verdict.PROMOTE or canary.ballot.verdict is Verdict.NONE:
-            canary.ballot.reach(verdict, from_peer=True)
+            canary.ballot.adopt(verdict, from_peer=True)
--- a/stepsail/decisions/histogram.py
+++ b/stepsail/decisions/histogram.py
@@ -1,25 +1,26 @@
-"""Distributions of attempt latencies, scaled by the client's deadline.
+"""Distributions of attempt latencies, scaled by the client timeout.
 
-A latency is counted as a share of its class's client timeout, so that classes of different speed can be
-pooled (the paper's section 3 compares whole distributions). A failed attempt counts as a full timeout.
+A latency is counted as a share of the client timeout of its class, so that classes of different speed can be
+pooled (section 3 of the paper that `evidence` names compares whole distributions). A failed attempt counts as
+a full timeout.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-# Upper edges of the bins, as shares of the client timeout; each is about 1.4 times the one before it.
+# Upper edges of the bins, as shares of the client timeout; each edge is about 1.4 times the previous one.
 EDGES = (0.02, 0.03, 0.045, 0.065, 0.09, 0.13, 0.18, 0.25, 0.35, 0.5, 0.75, 0.999)
 FAILURE_EDGE = len(EDGES) - 1  # index of the edge that only failed attempts pass
 FAILURE_BIN = len(EDGES)
-OVERDUE = 254  # in place of a bin: an attempt is still in flight after its latency objective
-DISPUTED = 255  # in place of a bin: a client has called an answer wrong
+OVERDUE = 254  # in place of a bin index: an attempt is still in flight after its latency objective
+DISPUTED = 255  # in place of a bin index: a client has reported an answer as wrong
 
 
 class LatencyHistogram:
-    """Counts of attempts by bins of latency.
+    """Numbers of attempts by bins of latency.
 
-    `bins[i]` counts those up to `EDGES[i]`, the last bin the failures.
+    `bins[i]` counts the attempts up to `EDGES[i]`; the last bin counts the failed attempts.
     """
 
     def __init__(self) -> None:
@@ -29,7 +30,8 @@
     def add(self, bin_index: int, count: float = 1.0) -> None:
         """Count outcomes.
 
-        A disputed answer was counted as served before: one outcome of the fullest bin turns into a failure.
+        A disputed answer has already been counted as served, so one outcome of the fullest bin becomes a
+        failure.
         """
         if bin_index != DISPUTED:
             self.bins[bin_index] = self.bins[bin_index] + count
@@ -39,7 +41,7 @@
             self.bins[-1] += 1
 
     def scale(self, factor: float) -> None:
-        """Let all that was counted weigh less."""
+        """Multiply all counts by a factor, so that earlier outcomes weigh less."""
         self.bins = [count * factor for count in self.bins]
         self.count = self.count * factor
 
@@ -48,11 +50,11 @@
 
 
 def merge(parts: Sequence[HistogramsByClass]) -> HistogramsByClass:
-    """The sum of several, class by class."""
+    """Add up several sets of histograms, class by class."""
     total: HistogramsByClass = {}
     for part in parts:
         for class_index, histogram in part.items():
             merged = total.setdefault(class_index, LatencyHistogram())
             merged.count = merged.count + histogram.count
-            merged.bins = [count + histogram.bins[at] for at, count in enumerate(merged.bins)]
+            merged.bins = [count + histogram.bins[index] for index, count in enumerate(merged.bins)]
     return total
--- a/stepsail/decisions/list_lease.py
+++ b/stepsail/decisions/list_lease.py
@@ -1,13 +1,14 @@
-"""The lease on the list of servers: until when an instance may act on the list that it holds.
+"""The lease on the endpoint list: until when an instance may send requests by the list that it has.
 
-A list is knowledge that ages. The platform counts each change as told some seconds after discovery had it,
-whether or not it arrived, so that an instance that hears nothing may go by its list for so long and no longer
-(a lease after Gray and Cheriton, 1989, with discovery as the server). When the lease has run out, any server
-may have been told to drain, and a request goes to none until a list is confirmed again. A failed call never
-extends the lease: a refusal, a reset and a time-out look alike whether discovery is down, crowded or cut off,
-and only in the first case nothing counts as told.
+A list goes out of date. The platform expects an instance to act on each change some seconds after discovery
+received it, whether or not the instance was notified: the change is in force. So an instance that hears
+nothing may use its list for that time and no longer (a lease after Gray and Cheriton, 1989, with discovery as
+the server). Once the lease has expired, any server may have been told to drain, and no server gets a request
+until a list is confirmed again. A failed call never extends the lease: a refusal, a reset and a timeout look
+the same whether discovery is down, overloaded or unreachable, and changes do not come into force only while
+it is down.
 
-All times are seconds on one monotonic clock. No I/O.
+All times are in seconds on one monotonic clock. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,31 +17,38 @@
 from enum import Enum
 from math import inf
 
-CHANGE_COUNTS_AFTER = 6.0  # s after discovery had a change, heard or not, if it could be reached
-MOVE_COUNTS_AFTER = 4.0  # s after a new configuration, for what the new discovery has
-OLD_ADDRESS_ENDS_AFTER = 2.0  # s after a new configuration; the old address closes connections in 1.5 s
-WRITE_DELAY = 0.5  # s of the lease kept back: changes are written some tenths after discovery has them
-SEND_DELAY = 0.25  # s of the drain grace kept back, from a look at the clock to the first byte of a request
-FAILED_CALL_FACTOR = 4.0  # how much longer an unwatched list may be used if the last call failed
+# Seconds from when discovery receives a change until it is in force for an instance, notified or not, if
+# discovery could be reached.
+CHANGE_IN_FORCE_AFTER = 6.0
+# Seconds from a new configuration until the changes at the new discovery address are in force.
+MOVE_IN_FORCE_AFTER = 4.0
+# Seconds from a new configuration until the old address is silent; it closes its connections in 1.5 s.
+OLD_ADDRESS_CLOSED_AFTER = 2.0
+# Seconds by which the lease is shortened: discovery writes changes to its watches some tenths of a second
+# after it receives them.
+WRITE_DELAY = 0.5
+# Seconds by which the drain grace is shortened: the time from reading the clock to a request's first byte.
+SEND_DELAY = 0.25
+FAILED_CALL_FACTOR = 4.0  # factor of the time that an unwatched list may be used if the last call failed
 
 
 class ListState(Enum):
-    """What an instance knows of the servers."""
+    """How current the list of servers is."""
 
-    MISSING = "no list was confirmed since the start"
-    CURRENT = "a watch stands and tells of changes"
-    UNCONFIRMED = "no watch stands; the lease of the last list runs"
-    EXPIRED = "the lease has run out: any server may have been told to drain"
+    MISSING = "no list has been confirmed since the start"
+    CURRENT = "a watch is open and reports changes"
+    UNCONFIRMED = "no watch is open; the lease on the last list has not expired"
+    EXPIRED = "the lease has expired: any server may have been told to drain"
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """What the settings say of endpoint lists. Times are in seconds.
+    """The settings for endpoint lists. Times are in seconds.
 
     Attributes:
         pushed: Whether discovery pushes changes over a watch, rather than being polled.
-        drain_grace: Time after a server was told to drain from which it must get nothing new.
-        unwatched_ttl: Time for which a polled list may be used; 0 where the settings don't say.
+        drain_grace: Time after a server was told to drain from which it must get no new requests.
+        unwatched_ttl: Time for which a polled list may be used; 0 where the settings set no limit.
     """
 
     pushed: bool
@@ -49,80 +57,85 @@
 
 
 class ListLease:
-    """One instance's lease on its endpoint list. It is told of each event in the order of time."""
+    """One instance's lease on its endpoint list. Its methods must be called in the order of the events."""
 
     def __init__(self, terms: LeaseTerms) -> None:
         self.terms = terms
-        self.confirmed_at = -inf  # the list held all that discovery had told by then
-        self.watch_ended_at: float | None = -inf  # None while a watch stands
+        self.confirmed_at = -inf  # the list holds all changes that discovery had sent by this time
+        self.watch_ended_at: float | None = -inf  # None while a watch is open
         self.ended_by_peer = False  # whether discovery closed or reset the last watch
         self.call_failed = False  # whether the last call for a list failed
-        self.move_counts_at = inf  # from then on a discovery counts that was not heard yet
-        self.move_confirmed_from = inf  # a confirmation as of then or later is of the address in force
-        self.before_change: tuple[float, float] | None = (
-            None  # both of these, while a configuration is unread
-        )
+        # When changes at an address that has not confirmed a list yet are in force; `inf` if there is none.
+        self.move_in_force_at = inf
+        # A confirmation as of this time or later comes from the current address.
+        self.address_current_from = inf
+        # The two times above as they were before a configuration that has not been read yet.
+        self.before_change: tuple[float, float] | None = None
 
     def confirm(self, as_of: float, by_watch: bool) -> None:
-        """The list in hand holds all that discovery had told by `as_of`, at the earliest."""
+        """Renew the lease: the list holds at least all changes that discovery had sent by `as_of`."""
         self.confirmed_at = max(self.confirmed_at, as_of)
         self.call_failed = False
         if by_watch:
             self.watch_ended_at = None
-        if as_of >= self.move_confirmed_from:
-            self.move_counts_at = inf
-            self.move_confirmed_from = inf
+        if as_of >= self.address_current_from:
+            self.move_in_force_at = inf
+            self.address_current_from = inf
             self.before_change = None
 
     def watch_ended(self, now: float, by_peer: bool) -> None:
-        """The watch that stood has ended.
+        """Record the end of the open watch.
 
-        It was closed or reset `by_peer`, or given up here as it fell silent or moves.
+        Args:
+            now: The current time.
+            by_peer: Whether discovery closed or reset the watch. If not, this instance closed it, as it
+                received no events or the address of discovery has changed.
         """
         self.watch_ended_at = now
         self.ended_by_peer = by_peer
 
-    def failed(self) -> None:
-        """A call for a list, or for a watch, has failed."""
+    def record_failed_call(self) -> None:
+        """Record that a call for a list or for a watch has failed."""
         self.call_failed = True
 
     def configuration_changed(self, now: float) -> None:
-        """Discovery may have moved; which address is in force has not been read yet."""
-        self.before_change = self.before_change or (self.move_counts_at, self.move_confirmed_from)
-        self.move_counts_at = min(self.move_counts_at, now + MOVE_COUNTS_AFTER)
-        self.move_confirmed_from = now + OLD_ADDRESS_ENDS_AFTER
+        """Record a new configuration that has not been read yet: discovery may have a new address."""
+        self.before_change = self.before_change or (self.move_in_force_at, self.address_current_from)
+        self.move_in_force_at = min(self.move_in_force_at, now + MOVE_IN_FORCE_AFTER)
+        self.address_current_from = now + OLD_ADDRESS_CLOSED_AFTER
 
     def address_read(self, now: float, moved: bool) -> None:
-        """The new configuration was read.
+        """Record that the new configuration has been read.
 
-        If discovery has moved, it is called at its new address from `now` on; if not, all is as before.
+        If discovery has moved, it is called at its new address from `now` on. If not, the state from before
+        the configuration is restored.
         """
         if moved:
-            self.move_counts_at = min(self.move_counts_at, now + MOVE_COUNTS_AFTER)
-            self.move_confirmed_from = now
+            self.move_in_force_at = min(self.move_in_force_at, now + MOVE_IN_FORCE_AFTER)
+            self.address_current_from = now
         elif self.before_change:
-            self.move_counts_at, self.move_confirmed_from = self.before_change
+            self.move_in_force_at, self.address_current_from = self.before_change
         self.before_change = None
 
     def usable_until(self) -> float:
-        """The time up to which the list may be acted on, if nothing more is heard."""
-        until = min(self.confirmed_at + CHANGE_COUNTS_AFTER, self.move_counts_at) - WRITE_DELAY
+        """Return the time up to which the list may be used if no further event comes."""
+        until = min(self.confirmed_at + CHANGE_IN_FORCE_AFTER, self.move_in_force_at) - WRITE_DELAY
         if self.watch_ended_at is None:
             return until
         if self.terms.pushed and self.ended_by_peer:
-            # What is told counts at once while no watch is open: the grace alone is left.
+            # While no watch is open, a change is in force at once, and only the drain grace remains.
             return min(until, self.watch_ended_at + max(0.0, self.terms.drain_grace - SEND_DELAY))
         if not self.terms.pushed and self.terms.unwatched_ttl:
-            held = self.terms.unwatched_ttl * (FAILED_CALL_FACTOR if self.call_failed else 1.0)
-            until = min(until, self.confirmed_at + held - WRITE_DELAY)
+            ttl = self.terms.unwatched_ttl * (FAILED_CALL_FACTOR if self.call_failed else 1.0)
+            until = min(until, self.confirmed_at + ttl - WRITE_DELAY)
         return until
 
     def usable(self, now: float) -> bool:
-        """Whether a request may go to a server that the list has as ready."""
+        """Whether a request may go to a server that is ready by the list."""
         return now < self.usable_until()
 
     def state(self, now: float) -> ListState:
-        """What the instance knows, for logs."""
+        """Return how current the list is, for logs."""
         if self.confirmed_at == -inf:
             return ListState.MISSING
         if not self.usable(now):
--- a/stepsail/decisions/request.py
+++ b/stepsail/decisions/request.py
@@ -64,7 +64,7 @@
         self.request_class: RequestClass = router.settings.request_classes[class_index]
         self.attempts: list[Attempt] = []
         self.usual_latency: DecayingMean = router.admission.usual_latency[class_index]
-        self.stall_detectors = router.stalls.of_request(class_index, tenant_index)
+        self.stall_detectors = router.stalls.detectors_for(class_index, tenant_index)
         self.rejection_reason: RejectionReason | None = None
 
     @property
@@ -101,7 +101,7 @@
         """
         attempt = self.attempts[attempt_index]
         router = self.router
-        if attempt.build < router.exposure.least_build(self.key):
+        if attempt.build < router.exposure.earliest_allowed_build(self.key):
             return False
         release = router.release
         if attempt.build == release.build and router.exposure.is_canary(attempt.build) and release.limit <= 0:
@@ -127,7 +127,7 @@
             router.admission.waiting.append(self)
             return
         if router.exposure.is_canary(server.build):
-            router.exposure.of_class(self.request_class.index).sent.append(now)
+            router.exposure.window_for_class(self.request_class.index).sent.append(now)
         attempt = Attempt(self, server, now)
         router.admission.in_flight.append(attempt)
         self.attempts.append(attempt)
@@ -232,7 +232,7 @@
         if not process_was_paused:
             self._record_evidence(attempt, outcome, duration)
         if outcome is AttemptOutcome.SERVED:
-            router.exposure.answered(self.key, attempt.build)
+            router.exposure.record_answer(self.key, attempt.build)
         self.closed = self.closed or is_final
         if not self.closed and all(a.ended for a in self.attempts):
             self.dispatch()
@@ -303,4 +303,4 @@
         """
         if not attempt.counted_for_stalls:
             attempt.counted_for_stalls = True
-            self.router.stalls.record_own(self.stall_detectors, is_late)
+            self.router.stalls.record_local(self.stall_detectors, is_late)
--- a/stepsail/decisions/router.py
+++ b/stepsail/decisions/router.py
@@ -141,7 +141,7 @@
     ) -> Request:
         """Accept a request and dispatch it."""
         request = Request(self, number, class_index, tenant_index, deadline, key, is_retry, age)
-        self.exposure.of_class(request.request_class.index).accepted.add(request.arrived_at)
+        self.exposure.window_for_class(request.request_class.index).accepted.add(request.arrived_at)
         self.pool.arrivals.add(request.arrived_at)
         request.dispatch()
         return request
@@ -196,7 +196,7 @@
         if self.settings.gossip_enabled or class_index >= len(self.settings.request_classes):
             return
         if 0 <= failed <= count:
-            self.observations.count_release(build, class_index, count, failed)
+            self.observations.add_release_counts(build, class_index, count, failed)
 
     # -- evidence and gossip -----------------------------------------------------------------------------
 
@@ -233,7 +233,7 @@
         is_known_bin = bin_index <= FAILURE_BIN or bin_index >= OVERDUE
         if class_index >= len(self.settings.request_classes) or not is_known_bin:
             return
-        self.stalls.record_peers(class_index, bin_index)
+        self.stalls.record_from_peer(class_index, bin_index)
         detectors = self.stalls.detectors
         if bin_index != OVERDUE and not (detectors and detectors[class_index].stalled):
             self.observe(server, build, class_index, bin_index, is_own=False)
--- a/stepsail/decisions/selection.py
+++ b/stepsail/decisions/selection.py
@@ -108,7 +108,7 @@
         """
         now = self.host.clock
         tried = [a.server for a in request.attempts]
-        least_build = self.router.exposure.least_build(request.key)
+        least_build = self.router.exposure.earliest_allowed_build(request.key)
         allowed = self.ready
         if least_build or tried:
             allowed = [s for s in allowed if s.build >= least_build and request.may_be_sent_to(s)]
--- a/stepsail/experiment/baselines.py
+++ b/stepsail/experiment/baselines.py
@@ -74,7 +74,7 @@
 class ClockCanary(Canary):
     """Promotes once a stage has stood for a while, whatever was seen."""
 
-    def judge(self, is_settled: bool) -> Verdict:
+    def evaluate(self, is_settled: bool) -> Verdict:
         """By the clock alone."""
         is_due = self.router.host.clock - self.started_at >= CLOCK_BAKE_TIME
         if is_settled and is_due and self.phase is ReleasePhase.CANARY:
@@ -85,7 +85,7 @@
 class PlainTestCanary(Canary):
     """Rolls back where more of the new build's outcomes fail by a z-test of two shares, else promotes."""
 
-    def judge(self, is_settled: bool) -> Verdict:
+    def evaluate(self, is_settled: bool) -> Verdict:
         """By the z-test."""
         failed = count_failures(self.outcomes)
         count = count_outcomes(self.outcomes)
--- a/stepsail/platform/discovery.py
+++ b/stepsail/platform/discovery.py
@@ -108,7 +108,7 @@
             if self.receiver.receive(self.client.poll(), lists_received_at_call):
                 self.lease.confirm(called_at, by_watch=False)
         except (CallError, PlatformError) as error:
-            self.lease.failed()
+            self.lease.record_failed_call()
             self.log.warning(
                 "endpoint_poll_failed",
                 error=str(error)[:MAX_LOGGED_ERROR],
--- a/stepsail/platform/endpoint_watch.py
+++ b/stepsail/platform/endpoint_watch.py
@@ -120,14 +120,14 @@
                 budget = USUAL_BUDGET if watch.ended_by_peer else REPLACEMENT_BUDGET
                 calls_left = budget.calls
             else:
-                self.lease.failed()
+                self.lease.record_failed_call()
                 calls_left -= 1
             if calls_left:
                 self.loop.sleep(max(0.0, MIN_WATCH_INTERVAL - (self.loop.now() - started_at)))
                 continue
             self.host.call_router(self.host.router.endpoint_poll_failed)
-            failure = CallFailure.of_call(watch.connected, self.loop.now() - watch.called_at)
-            self.loop.sleep(self.pacing.next_pause(failure))
+            failure = CallFailure.classify(watch.connected, self.loop.now() - watch.called_at)
+            self.loop.sleep(self.pacing.next_delay(failure))
             budget = USUAL_BUDGET
             calls_left = budget.calls
 
--- a/tests/decisions/test_canary.py
+++ b/tests/decisions/test_canary.py
@@ -1,4 +1,4 @@
-"""The judgement of a build on canary."""
+"""Tests of the evaluation of a build on canary."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 )
 
 
-def test_sound_build_is_promoted_but_not_before_its_stage_has_settled() -> None:
+def test_good_build_is_promoted_but_not_before_its_stage_has_settled() -> None:
     host = on_trial((1, 1, 2, 2))
     host.receive_endpoint_list((1, 1, 2, 2), start=host.clock - 3.2)
     outcomes(host, 2, AttemptOutcome.SERVED, 120)
     assert host.votes and set(host.votes) == {(2, 0, Verdict.PROMOTE)}
-    early = on_trial((1, 1, 2, 2))
-    early.receive_endpoint_list((1, 1, 2, 2), start=early.clock)
-    outcomes(early, 2, AttemptOutcome.SERVED, 30)
-    assert early.clock - 100 < 3.3 and not early.votes
+    unsettled = on_trial((1, 1, 2, 2))
+    unsettled.receive_endpoint_list((1, 1, 2, 2), start=unsettled.clock)
+    outcomes(unsettled, 2, AttemptOutcome.SERVED, 30)
+    assert unsettled.clock - 100 < 3.3 and not unsettled.votes
 
 
 def test_failing_build_is_rolled_back_but_not_for_one_failing_server() -> None:
-    # An incident had two servers err at once; a good build was sent back for them.
-    for sick, verdict in (((2, 3, 4), Verdict.ROLL_BACK), ((2,), Verdict.PROMOTE)):
+    # In an incident, two servers failed at the same time, and a good build was rolled back because of them.
+    for failing_servers, verdict in (((2, 3, 4), Verdict.ROLL_BACK), ((2,), Verdict.PROMOTE)):
         host = on_trial((1, 1, 2, 2, 2))
         for _ in range(60):
             host.router.admission.window = 9.0
             request = host.accept(0)
             while request.attempts and not request.finished():
-                relay = request.attempts[-1]
-                bad = host.servers.index(relay.server) in sick
-                outcome = AttemptOutcome.FAILED if bad else AttemptOutcome.SERVED
-                request.attempt_ended(len(request.attempts) - 1, outcome, not bad, 0.1, ())
+                attempt = request.attempts[-1]
+                fails = host.servers.index(attempt.server) in failing_servers
+                outcome = AttemptOutcome.FAILED if fails else AttemptOutcome.SERVED
+                request.attempt_ended(len(request.attempts) - 1, outcome, not fails, 0.1, ())
             host.advance(0.1)
         assert host.votes and host.votes[-1][2] is verdict
 
 
 def test_disputed_answer_of_a_class_without_outcomes_is_ignored() -> None:
-    # A contested answer left an empty sample behind, by which the next look divided.
+    # A disputed answer left an empty histogram behind, and the next evaluation divided by its count of 0.
     host = on_trial((1, 1, 2, 2))
     for server in host.servers:
         server.answer_disputed(0, 1.0)
@@ -51,21 +51,22 @@
 
 
 def test_release_counts_are_evidence_where_there_is_no_gossip() -> None:
-    for errored, verdict in ((0, Verdict.PROMOTE), (8, Verdict.ROLL_BACK)):
+    for failed, verdict in ((0, Verdict.PROMOTE), (8, Verdict.ROLL_BACK)):
         host = on_trial((1, 1, 2, 2))
         host.router.release_counts_received(1, 0, 400, 1, 0.1, 1.0)
-        host.router.release_counts_received(1, 0, 3, 9, 0.1, 1.0)  # more failures than relays
+        host.router.release_counts_received(1, 0, 3, 9, 0.1, 1.0)  # invalid: more failures than attempts
         host.advance(13.0)
-        host.router.release_counts_received(2, 0, 40, errored, 0.1, 1.0)
+        host.router.release_counts_received(2, 0, 40, failed, 0.1, 1.0)
         for _ in range(40):
             host.router.observe(host.servers[0], 1, 0, 3, True)
-        host.router.observe(host.servers[2], 2, 0, FAILURE_BIN if errored else 3, True)
+        host.router.observe(host.servers[2], 2, 0, FAILURE_BIN if failed else 3, True)
         host.advance(1.0)
         assert {v for _, _, v in host.votes} == {verdict}
 
 
 def test_stage_is_settled_only_with_its_share_of_servers_rounded_up() -> None:
-    # On some days an on came under 2 s into a stage's clock: 20% of 6 places are two servers, not one.
+    # Some votes to promote came less than 2 s after a stage's start, as its share of servers was rounded
+    # down: 20% of 6 servers are two servers, not one.
     host = FakeHost(builds=(1, 1, 1, 1, 1, 1, 2, 2), exposure_limits=(1.0, 1.0), stage_shares=(0.2, 1.0))
     host.receive_release_state(2, 0, ReleasePhase.CANARY, 1.0)
     host.servers[7].update_endpoint(0, 7, 2, 0, 0.0, 1.0)
@@ -78,7 +79,8 @@
 
 
 def test_outcomes_in_overload_are_no_evidence_on_a_build() -> None:
-    # A late roster left a third of the servers to go to; what was slow there had a released good build sent back.
+    # An outdated endpoint list left only a third of the servers to choose from. They were overloaded, and
+    # their slow attempts had a good build rolled back after its release.
     host = on_trial((1, 1, 2, 2))
     host.router.pool.rejected_attempts = 0.5
     host.accept(0).attempt_ended(0, AttemptOutcome.SERVED, True, 2.9, ())
@@ -88,13 +90,14 @@
     assert host.router.observations.recent
 
 
-def test_gap_rolls_no_build_back_while_a_class_is_stalled() -> None:
-    # A stuck product filled the servers just as the last stage began: a good build went back for the others' waits.
-    for stuck in (True, False):
+def test_gap_does_not_roll_back_a_build_while_a_class_is_stalled() -> None:
+    # A stalled class occupied the servers just as the last stage began, and a good build was rolled back
+    # because the requests of other classes had to wait.
+    for is_stalled in (True, False):
         host = on_trial((2, 2))
         host.accept(0).attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
         canary = host.router.canary
         assert canary
         filled((canary.baseline, 2), (canary.long_baseline, 2), (canary.outcomes, 8), product=1)
-        host.router.stalls.detectors[0].found_until = host.clock + 9 * stuck
-        assert (canary.judge(True) is Verdict.ROLL_BACK) is not stuck
+        host.router.stalls.detectors[0].found_until = host.clock + 9 * is_stalled
+        assert (canary.evaluate(True) is Verdict.ROLL_BACK) is not is_stalled
--- a/tests/decisions/test_evidence.py
+++ b/tests/decisions/test_evidence.py
@@ -1,4 +1,4 @@
-"""The sequential tests on latency distributions."""
+"""Tests of the sequential tests on latency distributions."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from stepsail.decisions.histogram import EDGES, FAILURE_EDGE, LatencyHistogram
 
 
-def test_confidence_radius_is_the_bound_worked_by_hand() -> None:
-    by_hand = 0.85 * sqrt((log(1 + log(20)) + 0.8 * log(1612 / 0.005)) / 20)
-    assert isclose(confidence_radius(20, 0.005), by_hand) and isclose(by_hand, 0.645, abs_tol=0.002)
+def test_confidence_radius_matches_the_bound_computed_by_hand() -> None:
+    expected = 0.85 * sqrt((log(1 + log(20)) + 0.8 * log(1612 / 0.005)) / 20)
+    assert isclose(confidence_radius(20, 0.005), expected) and isclose(expected, 0.645, abs_tol=0.002)
 
 
 def test_gap_is_the_largest_excess_of_the_earlier_distribution() -> None:
-    before, fresh = LatencyHistogram(), LatencyHistogram()
+    baseline, canary = LatencyHistogram(), LatencyHistogram()
     for share in (0.05, 0.05, 0.2, 0.4):
-        before.add(bisect_left(EDGES, share))
+        baseline.add(bisect_left(EDGES, share))
     for share in (0.05, 0.3, 0.4, 1.0):
-        fresh.add(bisect_left(EDGES, share))
-    # at 0.25: 3/4 of the earlier are below, 1/4 of the new
-    assert largest_gap({0: before, 1: fresh}, {0: fresh}) == (0.5, 4, 4)
+        canary.add(bisect_left(EDGES, share))
+    # At 0.25, 3/4 of the earlier build's outcomes are below, and 1/4 of the new build's.
+    assert largest_gap({0: baseline, 1: canary}, {0: canary}) == (0.5, 4, 4)
 
 
 def test_identical_builds_are_rejected_no_more_often_than_alpha() -> None:
-    wrong = 0
+    rejections = 0
     for seed in range(300):
-        draw = Random(seed)
-        before, fresh = {0: LatencyHistogram()}, {0: LatencyHistogram()}
+        random = Random(seed)
+        baseline, canary = {0: LatencyHistogram()}, {0: LatencyHistogram()}
         for _ in range(400):
-            before[0].add(bisect_left(EDGES, draw.expovariate(20)))
+            baseline[0].add(bisect_left(EDGES, random.expovariate(20)))
         for n in range(1, 150):
-            fresh[0].add(bisect_left(EDGES, draw.expovariate(20)))
-            wide, _, m = largest_gap(before, fresh)
-            around = confidence_radius(n, 0.005) + confidence_radius(m, 0.005)
-            if wide > around or log_evidence(before, fresh, (FAILURE_EDGE,)) > log(2 / 0.01):
-                wrong += 1
+            canary[0].add(bisect_left(EDGES, random.expovariate(20)))
+            excess, _, m = largest_gap(baseline, canary)
+            radius = confidence_radius(n, 0.005) + confidence_radius(m, 0.005)
+            if excess > radius or log_evidence(baseline, canary, (FAILURE_EDGE,)) > log(2 / 0.01):
+                rejections += 1
                 break
-    assert wrong <= 0.01 * 300
+    assert rejections <= 0.01 * 300
--- a/tests/decisions/test_exposure.py
+++ b/tests/decisions/test_exposure.py
@@ -1,4 +1,4 @@
-"""The exposure limit of a canary, and sticky keys."""
+"""Tests of the exposure limit of a canary, and of sticky keys."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 )
 
 
-def test_canary_attempts_stay_within_the_limit_and_out_of_guarded_stages() -> None:
+def test_canary_attempts_stay_within_the_limit_and_are_idempotent_in_early_stages() -> None:
     host = FakeHost(builds=(1, 2))
     host.receive_release_state(2, 0, ReleasePhase.CANARY, 0.2)
-    for at in range(60):
-        request = host.accept(at % 3)
+    for number in range(60):
+        request = host.accept(number % 3)
         request.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
         host.clock += 0.01
-    trial = [t for t, s, _, _ in host.sent if s.build == 2]
-    assert 2 <= len(trial) <= 2 + 0.2 * 60
-    assert all(t.request_class.idempotency is Idempotency.IDEMPOTENT for t in trial)
+    exposed = [request for request, server, _, _ in host.sent if server.build == 2]
+    assert 2 <= len(exposed) <= 2 + 0.2 * 60
+    assert all(request.request_class.idempotency is Idempotency.IDEMPOTENT for request in exposed)
 
 
 def test_restarted_instance_exposes_nothing_for_one_window() -> None:
-    """What the router's forgotten life sent, and this one sends, together stay within the cap."""
+    """The unknown attempts of the previous run and the attempts of this run together keep to the limit."""
     host = FakeHost(
         builds=(1, 2), burst_allowance=2.0, exposure_window=3.0, idempotent_only_stages=0, began=100.0
     )
@@ -40,8 +40,8 @@
     for _ in range(9):
         host.accept()
         host.advance(0.01)
-    fresh = [at for _, server, at, _ in host.sent if server.build == 2]
-    assert 1 <= len(fresh) <= 2 and min(fresh) >= 103.0
+    sent_at = [clock for _, server, clock, _ in host.sent if server.build == 2]
+    assert 1 <= len(sent_at) <= 2 and min(sent_at) >= 103.0
 
 
 def test_sticky_key_never_goes_back_until_its_build_is_withdrawn() -> None:
@@ -49,34 +49,34 @@
     host.receive_release_state(2, 0, ReleasePhase.CANARY, 1.0)
     bound = set()
     for key in range(1, 200):
-        one = keyed(host, key)
-        build = one.attempts[0].build
-        one.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
+        first = keyed(host, key)
+        build = first.attempts[0].build
+        first.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
         bound |= {key} if build == 2 else set()
-        again = keyed(host, key)
-        assert again.attempts[0].build >= build
-        bound |= {key} if again.attempts[0].build == 2 else set()
-        again.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
+        second = keyed(host, key)
+        assert second.attempts[0].build >= build
+        bound |= {key} if second.attempts[0].build == 2 else set()
+        second.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
         host.clock += 0.01
     assert 40 < len(bound) < 160 and set(host.router.exposure.builds_by_key) == bound
     host.receive_release_state(2, 0, ReleasePhase.RELEASED, 1.0)
-    # A key answered after the release was not kept, and could go to a server that a late roster still listed.
+    # A key that was answered after the release was not bound, and could go to a server of an earlier build
+    # that an outdated endpoint list still held.
     assert not host.router.exposure.builds_by_key
     for key in range(200, 260):
-        one = keyed(host, key)
-        assert one.attempts[0].build == 2
-        one.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
+        request = keyed(host, key)
+        assert request.attempts[0].build == 2
+        request.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
     host.receive_release_state(2, 0, ReleasePhase.ROLLING_BACK, 0.0)
     assert {keyed(host, key).attempts[0].build for key in range(200, 204)} == {1}
     host.router.admission.window = 99.0
-    host.receive_release_state(
-        3, 0, ReleasePhase.CANARY, 0.1
-    )  # what the withdrawn build answered binds nothing any more
+    # Keys that the withdrawn build answered are no longer bound.
+    host.receive_release_state(3, 0, ReleasePhase.CANARY, 0.1)
     assert keyed(host, 5).attempts
 
 
-def test_restarted_instance_goes_on_with_a_share_if_all_servers_run_the_canary() -> None:
-    # A restarted router answered nothing for a whole window, as every server ran the build on trial.
+def test_restarted_instance_uses_a_share_of_the_limit_if_all_servers_run_the_canary() -> None:
+    # A restarted instance served no request for a whole window, as every server ran the build on canary.
     host = FakeHost(
         builds=(2, 2),
         burst_allowance=2.0,
@@ -94,17 +94,18 @@
     assert 60 <= len(host.sent) <= 80
 
 
-@pytest.mark.parametrize(("builds", "shunned"), [((1, 1, 2, 2), True), ((1, 2, 2, 2), False)])
+@pytest.mark.parametrize(("builds", "is_withheld"), [((1, 1, 2, 2), True), ((1, 2, 2, 2), False)])
 @pytest.mark.parametrize("phase", [ReleasePhase.CANARY, ReleasePhase.ROLLING_BACK])
-def test_rejected_build_gets_nothing_while_earlier_servers_can_do_its_work(
-    builds: tuple[int, ...], shunned: bool, phase: ReleasePhase
+def test_rejected_build_gets_no_attempts_while_earlier_servers_can_take_its_load(
+    builds: tuple[int, ...], is_withheld: bool, phase: ReleasePhase
 ) -> None:
-    # Votes got no answer for five seconds: a build found to be bad went on getting half of all.
+    # Votes were not answered for five seconds, during which a build found to be bad still got half of all
+    # attempts.
     host = on_trial(builds)
     assert host.router.canary
-    host.router.canary.ballot.reach(Verdict.ROLL_BACK, False)
+    host.router.canary.ballot.adopt(Verdict.ROLL_BACK, False)
     if phase is ReleasePhase.ROLLING_BACK:
         host.receive_release_state(2, 0, phase, 1.0)
     for _ in range(40):
         host.accept(0).attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
-    assert (not any(s.build == 2 for _, s, _, _ in host.sent)) is shunned
+    assert (not any(s.build == 2 for _, s, _, _ in host.sent)) is is_withheld
--- a/tests/decisions/test_pause.py
+++ b/tests/decisions/test_pause.py
@@ -1,4 +1,4 @@
-"""The pause experiment on slowness everywhere."""
+"""Tests of the pause experiment, which tells whether a slowdown of all builds is the canary's fault."""
 
 from __future__ import annotations
 
@@ -18,45 +18,46 @@
 
 
 @pytest.mark.parametrize("build_is_slow", [True, False])
-def test_slowness_everywhere_is_the_builds_only_if_a_pause_ends_it(build_is_slow: bool) -> None:
-    # Crashes, bursts and a shifted load had sent good builds back: a large sample tells any slowness.
+def test_slowdown_of_all_builds_is_the_canarys_fault_only_if_a_pause_ends_it(build_is_slow: bool) -> None:
+    # Crashes, bursts and load shifts had good builds rolled back: a large sample detects any slowdown,
+    # whatever its cause.
     host = on_trial((1, 1, 2, 2))
-    host.receive_release_state(2, 0, ReleasePhase.CANARY, 0.2)  # a small dose
+    host.receive_release_state(2, 0, ReleasePhase.CANARY, 0.2)  # a low exposure limit
     canary = host.router.canary
     assert canary
     host.router.observations.normal[0] = LatencyHistogram()
     for _ in range(400):
         host.router.observations.normal[0].add(2)
-    for at in range(600):
-        ended = at > 150 and not build_is_slow  # a trouble that ends, once, while the trial is held
-        fast = ended or (
+    for step in range(600):
+        has_ended = step > 150 and not build_is_slow  # an unrelated fault that ends once, during a pause
+        is_fast = has_ended or (
             build_is_slow and canary.pause.started_at and host.clock > canary.pause.started_at + 0.5
         )
-        host.router.observe(host.servers[0], 1, 0, 2 if fast else 7, False)
-        host.router.observe(host.servers[2], 2, 0, 2 if fast else 7, False)
-        if at == 50:
+        host.router.observe(host.servers[0], 1, 0, 2 if is_fast else 7, False)
+        host.router.observe(host.servers[2], 2, 0, 2 if is_fast else 7, False)
+        if step == 50:
             assert canary.pause.started_at and not host.router.exposure.may_expose(host.accept(0), 2)
         host.advance(0.05)
     assert (Verdict.ROLL_BACK in [v for _, _, v in host.votes]) is build_is_slow
 
 
-@pytest.mark.parametrize("olds", [2, 0])
-def test_canary_is_paused_only_while_earlier_servers_can_do_its_work(olds: int) -> None:
-    # At the last stage all servers were new: a hold denied every request of the fleet, again and again.
-    host = on_trial((1,) * olds + (2,) * 2)
+@pytest.mark.parametrize("earlier_servers", [2, 0])
+def test_canary_is_paused_only_while_earlier_servers_can_do_its_work(earlier_servers: int) -> None:
+    # In the last stage all servers ran the new build, and each pause rejected all requests of the fleet.
+    host = on_trial((1,) * earlier_servers + (2,) * 2)
     canary, observations = host.router.canary, host.router.observations
     assert canary
     filled((observations.normal, 2), (observations.recent, 7), count=400)
     observations.changed = True
     host.advance(0.3)
-    assert bool(canary.pause.started_at) is bool(olds)
-    canary.ballot.reach(Verdict.PAUSE, True)  # a neighbour with another list finds one
-    assert host.router.exposure.may_expose(host.accept(0), 2) is not bool(olds)
-    assert olds or not canary.pause.started_at and host.sent
+    assert bool(canary.pause.started_at) is bool(earlier_servers)
+    canary.ballot.adopt(Verdict.PAUSE, True)  # from a peer whose list has earlier servers
+    assert host.router.exposure.may_expose(host.accept(0), 2) is not bool(earlier_servers)
+    assert earlier_servers or not canary.pause.started_at and host.sent
 
 
 @pytest.mark.parametrize(
-    ("judge", "start", "in_vain", "held"),
+    ("is_judge", "servers_started_at", "has_failed", "is_paused"),
     [
         (True, 0.0, False, True),
         (False, 0.0, False, False),
@@ -65,18 +66,19 @@
     ],
 )
 def test_only_a_judge_pauses_once_servers_are_warm_and_not_after_a_failed_pause(
-    judge: bool, start: float, in_vain: bool, held: bool
+    is_judge: bool, servers_started_at: float, has_failed: bool, is_paused: bool
 ) -> None:
-    # An overloaded day's good build went back: single umpires held, over and over, until one hold seemed to help.
+    # Under overload, a good build was rolled back: instances that were not judges paused it again and again,
+    # until one pause seemed to help.
     judges = FakeHost(
         instance_count=40, gossip_enabled=True, promotion_control=PromotionControl.VOTE_SHARE
     ).router.gossip.judges
-    me = judges[0] if judge else next(n for n in range(40) if n not in judges)
+    instance_index = judges[0] if is_judge else next(n for n in range(40) if n not in judges)
     host = FakeHost(
         builds=(1, 1, 2, 2),
-        start=start,
+        start=servers_started_at,
         instance_count=40,
-        instance_index=me,
+        instance_index=instance_index,
         gossip_enabled=True,
         promotion_control=PromotionControl.VOTE_SHARE,
         exposure_limits=(1.0, 1.0),
@@ -86,15 +88,16 @@
     host.receive_release_state(2, 0, ReleasePhase.CANARY, 1.0)
     canary, observations = host.router.canary, host.router.observations
     assert canary
-    canary.pause.failed = in_vain
+    canary.pause.failed = has_failed
     filled((observations.normal, 2), (observations.recent, 7), count=400)
     observations.changed = True
     host.advance(0.3)
-    assert bool(canary.pause.started_at) is held
+    assert bool(canary.pause.started_at) is is_paused
 
 
 def test_failed_pause_delays_promotion_until_the_stage_is_old() -> None:
-    # A hold in vain made the slowness the new usual: the build that caused it was voted on to all servers.
+    # After a pause that did not help, the slow latencies counted as normal, and the build that caused them
+    # was promoted to all servers.
     host = on_trial((1, 1, 2, 2))
     canary, observations = host.router.canary, host.router.observations
     assert canary
@@ -105,24 +108,24 @@
         (canary.long_baseline, 7),
         (canary.outcomes, 7),
     )
-    assert canary.judge(True) is Verdict.NONE and canary.pause.started_at
+    assert canary.evaluate(True) is Verdict.NONE and canary.pause.started_at
     for _ in range(10):
         host.clock += 0.5
         filled((observations.recent, 7), count=40)
-        canary.judge(True)
-    assert canary.pause.failed and not canary.pause.started_at and canary.judge(True) is Verdict.NONE
+        canary.evaluate(True)
+    assert canary.pause.failed and not canary.pause.started_at and canary.evaluate(True) is Verdict.NONE
     host.clock = canary.started_at + 12.0
-    assert canary.judge(True) is Verdict.PROMOTE
+    assert canary.evaluate(True) is Verdict.PROMOTE
 
 
-def test_unanswered_promotion_turns_into_a_pause_once_all_is_slow() -> None:
-    # The platform was down when an on was cast; the build slowed all servers a moment later, and for six seconds
-    # the vote was renewed and the build sent its part.
+def test_unanswered_vote_to_promote_turns_into_a_pause_once_all_builds_are_slow() -> None:
+    # Release control was down when a vote to promote was cast. The build slowed down all servers a moment
+    # later, yet for six seconds the vote was repeated and the build received its share of the attempts.
     host = on_trial((1, 1, 2, 2))
     host.receive_endpoint_list((1, 1, 2, 2), start=host.clock - 4.0)
     canary, observations = host.router.canary, host.router.observations
     assert canary
-    canary.ballot.reach(Verdict.PROMOTE, False)
+    canary.ballot.adopt(Verdict.PROMOTE, False)
     host.advance(0.3)
     assert host.votes == [(2, 0, Verdict.PROMOTE)]
     filled((observations.normal, 2), (observations.recent, 7))
@@ -137,8 +140,8 @@
     )
 
 
-def test_newest_outcomes_alone_show_slowness_everywhere() -> None:
-    # Two seconds went by until what had turned slow stood out among all that was well before.
+def test_newest_outcomes_suffice_to_detect_a_slowdown_of_all_builds() -> None:
+    # It took two seconds until the slow outcomes were detected among the many earlier fast ones.
     host = on_trial((1, 1, 2, 2))
     canary, observations = host.router.canary, host.router.observations
     assert canary
@@ -147,7 +150,7 @@
     assert log_evidence(observations.normal, observations.recent, range(FAILURE_EDGE)) < log(
         2 / host.router.voting.alpha
     )
-    canary.judge(True)
+    canary.evaluate(True)
     assert canary.pause.started_at
     filled((observations.recent, 2), (observations.newest, 2))
     host.clock += 5.0
@@ -155,21 +158,21 @@
     assert not observations.newest and observations.recent
 
 
-def test_pause_ends_once_attempts_sent_in_it_are_faster_beyond_doubt() -> None:
-    # A build that slowed all servers was held for 4.5 s though all was well again after two.
+def test_pause_ends_once_attempts_sent_during_it_are_significantly_faster() -> None:
+    # A build that slowed down all servers was paused for 4.5 s though latencies were normal again after two.
     host = on_trial((1, 1, 2, 2))
     canary, observations = host.router.canary, host.router.observations
     assert canary
     filled((observations.normal, 2), (observations.recent, 7), count=400)
-    assert canary.judge(True) is Verdict.NONE and canary.pause.started_at
+    assert canary.evaluate(True) is Verdict.NONE and canary.pause.started_at
     host.clock += 1.0
-    filled((observations.recent, 8), count=50)  # sent before the hold: it shows how slow all had become
-    assert canary.judge(True) is Verdict.PAUSE
+    filled((observations.recent, 8), count=50)  # sent before the pause: slow latencies
+    assert canary.evaluate(True) is Verdict.PAUSE
     host.clock += 1.0
     assert (
-        canary.judge(True) is Verdict.PAUSE
+        canary.evaluate(True) is Verdict.PAUSE
         and not observations.recent
         and canary.pause.latencies_before[0].bins[8] == 50
     )
     filled((observations.recent, 2), count=200)
-    assert canary.judge(True) is Verdict.ROLL_BACK and not canary.pause.started_at
+    assert canary.evaluate(True) is Verdict.ROLL_BACK and not canary.pause.started_at
--- a/tests/decisions/test_stall_detection.py
+++ b/tests/decisions/test_stall_detection.py
@@ -1,10 +1,10 @@
-"""Stalled classes and tenants."""
+"""Tests of the detection of stalled classes and tenants."""
 
 from __future__ import annotations
 
 from helpers import FakeHost
 
-from stepsail.decisions.gossip import JUDGES
+from stepsail.decisions.gossip import JUDGE_COUNT
 from stepsail.decisions.histogram import EDGES, OVERDUE
 from stepsail.decisions.interface import (
     AttemptOutcome,
@@ -13,135 +13,143 @@
 )
 
 
-def test_stalled_tenant_costs_the_others_nothing() -> None:
-    # One partner's transactions waited at all servers: their late answers narrowed the window until 19 of 20 of
-    # everybody's were denied, rested the servers and were held against the build on trial.
+def test_stalled_tenant_does_not_affect_other_tenants() -> None:
+    # One tenant's requests waited at all servers. Their late answers narrowed the concurrency window until 19
+    # of 20 requests of all tenants were rejected, got the servers ejected and counted as evidence against the
+    # build on canary.
     host = FakeHost(
         builds=(1, 1, 1, 2), tenant_shares=(0.5, 0.5), burst_allowance=9.0, idempotent_only_stages=0
     )
     host.receive_release_state(2, 0, ReleasePhase.CANARY, 0.5)
-    open_ones, denied, taken = [], 0, 0
-    for at in range(600):
-        tenant = at % 2
-        one = host.router.accept_request(at, 0, tenant, None, host.clock + 3.0, 0, False)
-        open_ones.append((host.clock + (2.0 if tenant else 0.1), one))
-        for _, held in [x for x in open_ones if x[0] <= host.clock]:
-            if held.attempts and not held.attempts[0].ended:
-                held.attempt_ended(0, AttemptOutcome.SERVED, True, host.clock - held.attempts[0].sent_at, ())
-        open_ones = [x for x in open_ones if x[0] > host.clock]
+    pending, rejected, accepted = [], 0, 0
+    for number in range(600):
+        tenant = number % 2
+        request = host.router.accept_request(number, 0, tenant, None, host.clock + 3.0, 0, False)
+        pending.append((host.clock + (2.0 if tenant else 0.1), request))
+        for _, due in [x for x in pending if x[0] <= host.clock]:
+            if due.attempts and not due.attempts[0].ended:
+                due.attempt_ended(0, AttemptOutcome.SERVED, True, host.clock - due.attempts[0].sent_at, ())
+        pending = [x for x in pending if x[0] > host.clock]
         host.advance(0.05)
-        if at > 200:
-            taken += not tenant
-            denied += not tenant and one in host.rejected
-    flows = host.router.stalls.detectors
-    second = flows[-2]  # the last flow is of those who are no tenant
-    assert second.stalled and not any(f.stalled for f in flows if f is not second)
-    assert denied < 0.02 * taken and host.router.admission.window > 3
+        if number > 200:
+            accepted += not tenant
+            rejected += not tenant and request in host.rejected
+    detectors = host.router.stalls.detectors
+    second_tenant = detectors[-2]  # the last detector is for unknown tenants
+    assert second_tenant.stalled and not any(d.stalled for d in detectors if d is not second_tenant)
+    assert rejected < 0.02 * accepted and host.router.admission.window > 3
     assert all(s.available() for s in host.servers) and (2, 0, Verdict.ROLL_BACK) not in host.votes
-    stuck = [t for t, _, at, _ in host.sent if at > 120 and t.stall_detectors[1].stalled]
-    assert 0 < len(stuck) < 60  # a few find out when it is over
-    for _, held in open_ones:
-        if held.attempts and not held.attempts[0].ended:
-            held.attempt_ended(0, AttemptOutcome.SERVED, True, 2.0, ())
+    stalled = [r for r, _, sent_at, _ in host.sent if sent_at > 120 and r.stall_detectors[1].stalled]
+    assert 0 < len(stalled) < 60  # a few requests are sent to detect the end of the stall
+    for _, due in pending:
+        if due.attempts and not due.attempts[0].ended:
+            due.attempt_ended(0, AttemptOutcome.SERVED, True, 2.0, ())
     for _ in range(300):
-        one = host.router.accept_request(9000 + host.number(), 0, 1, None, host.clock + 3.0, 0, False)
+        request = host.router.accept_request(9000 + host.number(), 0, 1, None, host.clock + 3.0, 0, False)
         host.advance(0.1)
-        if one.attempts and not one.attempts[0].ended:
-            one.attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
-    assert not flows[-1].stalled
+        if request.attempts and not request.attempts[0].ended:
+            request.attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
+    assert not detectors[-1].stalled
 
 
 def test_requests_of_a_stalled_class_are_rejected_at_once() -> None:
     host = FakeHost(builds=(1, 1), instance_count=10**6)
     host.accept(0).attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
     host.router.stalls.detectors[0].found_until, host.router.admission.window = host.clock + 9, 0.0
-    given_up = [host.accept(0) for _ in range(20)]
-    assert set(given_up) <= set(host.rejected) and len(host.sent) == 1
+    requests = [host.accept(0) for _ in range(20)]
+    assert set(requests) <= set(host.rejected) and len(host.sent) == 1
     assert host.accept(1) not in host.rejected
 
 
-def test_overload_makes_no_class_or_tenant_stalled() -> None:
+def test_overload_is_not_taken_for_a_stall() -> None:
     host = FakeHost(builds=(1, 1), tenant_shares=(0.5, 0.5))
-    for at in range(200):
+    for number in range(200):
         host.router.admission.window = 4.0
-        host.router.accept_request(at, at % 2, at // 2 % 2, None, host.clock + 3.0, 0, False)
-        for relay in list(host.router.admission.in_flight):
-            relay.request.attempt_ended(
-                relay.request.attempts.index(relay), AttemptOutcome.SERVED, True, 2.0, ()
+        host.router.accept_request(number, number % 2, number // 2 % 2, None, host.clock + 3.0, 0, False)
+        for attempt in list(host.router.admission.in_flight):
+            attempt.request.attempt_ended(
+                attempt.request.attempts.index(attempt), AttemptOutcome.SERVED, True, 2.0, ()
             )
         host.advance(0.1)
-    assert not any(f.stalled for f in host.router.stalls.detectors)
+    assert not any(d.stalled for d in host.router.stalls.detectors)
 
 
 def test_judge_finds_a_stalled_class_from_peers_outcomes_and_reports_it() -> None:
-    # At one request a second each of 400 umpires lost several before it knew; together they filled the servers.
-    quiet = FakeHost(builds=(1, 1), instance_count=400, gossip_enabled=True, cancel_allowed=False)
+    # At one request a second, each of 400 instances sent several requests of a stalled class before it
+    # detected the stall; together these occupied the servers.
+    instance = FakeHost(builds=(1, 1), instance_count=400, gossip_enabled=True, cancel_allowed=False)
     judge = FakeHost(
-        builds=(1, 1), instance_count=400, gossip_enabled=True, instance_index=quiet.router.gossip.judges[0]
+        builds=(1, 1),
+        instance_count=400,
+        gossip_enabled=True,
+        instance_index=instance.router.gossip.judges[0],
     )
-    late = quiet.accept(0)
-    assert late.attempts
-    quiet.advance(1.6)  # its target is 0.75 s, its client waits for 3
-    assert len(quiet.outcomes_sent) == JUDGES and quiet.outcomes_sent[0][1][0][3] == OVERDUE
+    overdue = instance.accept(0)
+    assert overdue.attempts
+    instance.advance(1.6)  # past its latency objective of 0.75 s, before its client timeout of 3 s
+    assert len(instance.outcomes_sent) == JUDGE_COUNT and instance.outcomes_sent[0][1][0][3] == OVERDUE
     judge.accept(1).attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
     for _ in range(12):
         judge.router.peer_outcome_received(judge.servers[0], 1, 0, OVERDUE)
         judge.router.peer_outcome_received(judge.servers[0], 1, 1, 3)
     judge.advance(0.3)
     assert judge.stalled_classes_sent == [[0]] and not judge.router.observations.recent.get(0)
-    stranger = next(n for n in range(400) if n not in quiet.router.gossip.judges)
-    for neighbour, stuck in ((stranger, False), (judge.router.settings.instance_index, True)):
-        quiet.router.peer_stalled_classes_received(neighbour, (0, 77))
+    other = next(n for n in range(400) if n not in instance.router.gossip.judges)
+    for peer, is_stalled in ((other, False), (judge.router.settings.instance_index, True)):
+        instance.router.peer_stalled_classes_received(peer, (0, 77))
         assert (
-            quiet.router.stalls.detectors[0].stalled is stuck and not quiet.router.stalls.detectors[1].stalled
+            instance.router.stalls.detectors[0].stalled is is_stalled
+            and not instance.router.stalls.detectors[1].stalled
         )
-    quiet.advance(2.6)
-    assert not quiet.router.stalls.detectors[0].stalled  # over, unless it is told again
+    instance.advance(2.6)
+    assert not instance.router.stalls.detectors[0].stalled  # a report expires unless it is repeated
 
 
 def test_peers_outcomes_stall_no_class_where_there_are_tenants() -> None:
-    # A partner that waited everywhere had a whole product denied: what umpires say names no partner.
+    # One stalled tenant had all requests of a class rejected, as peers' reports name no tenant.
     judge = FakeHost(builds=(1, 1), instance_count=1, gossip_enabled=True, tenant_shares=(0.5, 0.5))
     judge.accept(1).attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
     for _ in range(12):
         judge.router.peer_outcome_received(judge.servers[0], 1, 0, OVERDUE)
         judge.router.peer_outcome_received(judge.servers[0], 1, 1, 3)
-    assert not any(f.stalled for f in judge.router.stalls.detectors)
+    assert not any(d.stalled for d in judge.router.stalls.detectors)
 
 
 def test_overdue_attempt_counts_once() -> None:
-    # Told of when overdue and again when it ended, an overloaded product looked stuck: half of it was denied.
+    # Late attempts were reported both when overdue and when they ended. So a class under overload looked
+    # stalled, and half of its requests were rejected.
     judge = FakeHost(builds=(1, 1), instance_count=1, gossip_enabled=True)
     judge.accept(1).attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
     for _ in range(40):
-        for place in (OVERDUE, len(EDGES) - 1, 3, 3):  # a third is late
-            judge.router.peer_outcome_received(judge.servers[0], 1, 0, place)
+        for bin_index in (OVERDUE, len(EDGES) - 1, 3, 3):  # one of three attempts is late
+            judge.router.peer_outcome_received(judge.servers[0], 1, 0, bin_index)
         judge.router.peer_outcome_received(judge.servers[0], 1, 1, 3)
     assert (
-        not any(f.stalled for f in judge.router.stalls.detectors)
+        not any(d.stalled for d in judge.router.stalls.detectors)
         and judge.router.stalls.detectors[0].own_late_share.mean() < 0.45
     )
 
 
-def test_second_class_is_found_stalled_while_one_is() -> None:
-    # While one product was stuck no other could be found: the second filled all servers for twenty seconds.
+def test_second_stalled_class_is_detected_while_another_is_stalled() -> None:
+    # While one class was stalled, no other could be detected, and a second one occupied all servers for
+    # twenty seconds.
     judge = FakeHost(builds=(1, 1), instance_count=1, gossip_enabled=True)
     judge.accept(1).attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
-    for stuck in ((0,), (0, 1)):
+    for stalled in ((0,), (0, 1)):
         for _ in range(24):
-            for product in range(3):
-                place = OVERDUE if product in stuck else 3
-                judge.router.peer_outcome_received(judge.servers[0], 1, product, place)
-        assert [at for at, f in enumerate(judge.router.stalls.detectors[:3]) if f.stalled] == list(stuck)
+            for class_index in range(3):
+                bin_index = OVERDUE if class_index in stalled else 3
+                judge.router.peer_outcome_received(judge.servers[0], 1, class_index, bin_index)
+        assert [i for i, d in enumerate(judge.router.stalls.detectors[:3]) if d.stalled] == list(stalled)
 
 
-def test_requests_of_unknown_tenants_stall_no_known_one() -> None:
-    # A number beyond the tenants counted as the last of them: its lateness was found to be that tenant's.
+def test_requests_of_unknown_tenants_do_not_count_for_a_known_tenant() -> None:
+    # A tenant index beyond the known tenants counted as the last of them, which then looked stalled.
     host = FakeHost(tenant_shares=(0.6, 0.4), tenant_quotas=(9.0, 6.0))
-    taken = [
-        host.router.accept_request(at, 0, tenant, None, 103.0, 0, False)
-        for at, tenant in enumerate((0, 1, 2))
+    requests = [
+        host.router.accept_request(number, 0, tenant, None, 103.0, 0, False)
+        for number, tenant in enumerate((0, 1, 2))
     ]
-    flows, first = host.router.stalls.detectors, len(host.router.settings.request_classes)
-    assert len(flows) == first + 3
-    assert [flows.index(t.stall_detectors[1]) - first for t in taken] == [0, 1, 2]
+    detectors, first_tenant = host.router.stalls.detectors, len(host.router.settings.request_classes)
+    assert len(detectors) == first_tenant + 3
+    assert [detectors.index(r.stall_detectors[1]) - first_tenant for r in requests] == [0, 1, 2]
--- a/tests/incidents/test_lease_paths.py
+++ b/tests/incidents/test_lease_paths.py
@@ -11,7 +11,7 @@
 from rig import ScriptedServer, answers
 
 from stepsail.decisions.interface import RejectionReason
-from stepsail.decisions.list_lease import CHANGE_COUNTS_AFTER, MOVE_COUNTS_AFTER, WRITE_DELAY, ListState
+from stepsail.decisions.list_lease import CHANGE_IN_FORCE_AFTER, MOVE_IN_FORCE_AFTER, WRITE_DELAY, ListState
 from stepsail.http import ConnectionLimits, Request, ServerConnection
 from stepsail.http.message import chunk
 from stepsail.loop import Stream
@@ -21,7 +21,7 @@
 def expire_in(rig: PlatformRig, seconds: float) -> None:
     """The last confirmation is so old that the lease runs out in `seconds`; nothing more is heard before."""
     lease = rig.application.discovery.lease
-    lease.confirmed_at = rig.loop.now() + seconds - (CHANGE_COUNTS_AFTER - WRITE_DELAY)
+    lease.confirmed_at = rig.loop.now() + seconds - (CHANGE_IN_FORCE_AFTER - WRITE_DELAY)
 
 
 def ready_list(rig: PlatformRig) -> None:
@@ -117,8 +117,8 @@
         for one in fleet.instances:
             one.move_discovery(torn_for)
         changed_at = fleet.discovery.change(fleet.drained, "draining")
-        fleet.loop.sleep(MOVE_COUNTS_AFTER + 3.0)
-        late = fleet.late_arrivals(changed_at + MOVE_COUNTS_AFTER)
+        fleet.loop.sleep(MOVE_IN_FORCE_AFTER + 3.0)
+        late = fleet.late_arrivals(changed_at + MOVE_IN_FORCE_AFTER)
         assert not late, (late, fleet.logs())
 
     ProcessFleet(tmp_path, 2, test)
@@ -132,11 +132,11 @@
         fleet.loop.sleep(2.2)
         fleet.discovery.silent = fleet.discovery.crowded = True
         changed_at = fleet.discovery.change(fleet.drained, "draining")
-        fleet.loop.sleep(CHANGE_COUNTS_AFTER + 0.7)
+        fleet.loop.sleep(CHANGE_IN_FORCE_AFTER + 0.7)
         for one in fleet.instances:
             one.resume()
         fleet.loop.sleep(3.0)
-        late = fleet.late_arrivals(changed_at + CHANGE_COUNTS_AFTER)
+        late = fleet.late_arrivals(changed_at + CHANGE_IN_FORCE_AFTER)
         assert not late, (late, fleet.logs())
 
     ProcessFleet(tmp_path, 2, test)
