--- a/stepsail/adapter/process.py
+++ b/stepsail/adapter/process.py
@@ -13,7 +13,7 @@
 from stepsail.adapter.frames import MILLISECONDS, Batch, EventCode, MalformedBatch, Reply
 from stepsail.adapter.instance import Instance
 from stepsail.decisions.interface import AttemptOutcome, MakeRouter, ReleasePhase, VoteReceipt
-from stepsail.settings.flat_settings import pairs_of_text, read_router_settings
+from stepsail.settings.flat_settings import parse_pairs, read_router_settings
 
 EFFORT_KNOWN = 1  # bits of a call
 IS_RETRY = 2
@@ -89,7 +89,7 @@
         text = self.batch.tail(size).decode()
         instance = self.instances[number] = Instance(number, self.batch.clock, self.reply)
         with self._reporting(instance):
-            instance.start(self.make, read_router_settings(pairs_of_text(text)), seed)
+            instance.start(self.make, read_router_settings(parse_pairs(text)), seed)
 
     def _stop_instance(self) -> None:
         (number,) = self.batch.fields(frames.KILLED)
--- a/stepsail/cli/settings_files.py
+++ b/stepsail/cli/settings_files.py
@@ -72,4 +72,4 @@
 @click.command()
 def reference() -> None:
     """Print the reference page of the settings."""
-    click.echo(reference_page.page(), nl=False)
+    click.echo(reference_page.render_page(), nl=False)
--- a/stepsail/fleet/plan.py
+++ b/stepsail/fleet/plan.py
@@ -10,7 +10,7 @@
 from stepsail.settings.errors import InvalidSettings
 from stepsail.settings.model import Address, address_of
 from stepsail.settings.reader import SettingsReader
-from stepsail.settings.schema import SHARE, TIME, Setting, argument, with_defaults
+from stepsail.settings.schema import SHARE_BOUNDS, TIME_BOUNDS, Setting, argument, with_defaults
 from stepsail.settings.tree import SettingsTree
 
 MAX_PORT = 65535
@@ -49,7 +49,10 @@
         "view",
         "Where instance 0 takes part in the membership; each further one has the next port. Absent: there is "
         "none.",
-        (argument("address", "address"), argument("period", "time", keyword="period", optional=True, **TIME)),
+        (
+            argument("address", "address"),
+            argument("period", "time", keyword="period", optional=True, **TIME_BOUNDS),
+        ),
     ),
     Setting(
         "speak",
@@ -77,7 +80,7 @@
     Setting(
         "roll-part",
         "Share of the instances that may be away at once during a rolling restart; one at least.",
-        (argument("part", "share", **SHARE),),
+        (argument("part", "share", **SHARE_BOUNDS),),
         default=0.1,
     ),
 )
@@ -190,7 +193,7 @@
     _check_control_address(tree, top)
     common_settings = file.parent / top["common"]
     if not common_settings.is_file():
-        tree.add_error(tree.place_of("common"), f"there is no file {top['common']}")
+        tree.add_error(tree.location_of("common"), f"there is no file {top['common']}")
     if tree.errors:
         raise InvalidSettings(tree.errors)
     view = top["view"] or {}
@@ -238,27 +241,27 @@
         ports = _PortRange(setting, host, first, first + top["umpires"] - 1)
         if ports.last > MAX_PORT:
             message = f"the ports of {top['umpires']} umpires go up to {ports.last}"
-            tree.add_error(tree.place_of(setting), message)
+            tree.add_error(tree.location_of(setting), message)
         for other in ranges:
             if ports.conflicts_with(other):
-                tree.add_error(tree.place_of(setting), f"these ports meet those of '{other.setting}'")
+                tree.add_error(tree.location_of(setting), f"these ports meet those of '{other.setting}'")
         ranges.append(ports)
 
 
 def _check_gossip(tree: SettingsTree, top: dict[str, Any]) -> None:
     if top["speak"] and (top["neighbours"] or not top["view"]):
         message = "umpires speak over the view's ports: it needs 'view', and no 'neighbours'"
-        tree.add_error(tree.place_of("speak"), message)
+        tree.add_error(tree.location_of("speak"), message)
 
 
 def _check_control_address(tree: SettingsTree, top: dict[str, Any]) -> None:
     host, port = address_of(top["control"])
     listen_host, listen_port = address_of(top["listen"])
     if host == listen_host and listen_port <= port < listen_port + top["umpires"]:
-        tree.add_error(tree.place_of("control"), "this port is one of the umpires' own")
+        tree.add_error(tree.location_of("control"), "this port is one of the umpires' own")
     if not host.startswith(LOOPBACK_PREFIX):
         message = "only an address of this machine's own (127.0.0.0/8): whoever reaches it may stop the fleet"
-        tree.add_error(tree.place_of("control"), message)
+        tree.add_error(tree.location_of("control"), message)
 
 
 def _with_port_offset(address: Address, offset: int) -> Address:
--- a/stepsail/platform/client_protocol.py
+++ b/stepsail/platform/client_protocol.py
@@ -169,7 +169,9 @@
         if name is not None:
             return self.tenants.index(name.strip())
         index = _parse_number(number)
-        return index if index is not None and index < self.tenants.unknown else self.tenants.unknown
+        return (
+            index if index is not None and index < self.tenants.unknown_index else self.tenants.unknown_index
+        )
 
     def _close_id(self, in_flight: InFlightRequest) -> None:
         self.open_ids.discard(in_flight.request.header(wire_names.REQUEST_ID_HEADER) or b"")
--- a/stepsail/platform/configuration.py
+++ b/stepsail/platform/configuration.py
@@ -17,7 +17,7 @@
 from stepsail.platform import wire_names
 from stepsail.platform.errors import InvalidConfiguration, InvalidField
 from stepsail.platform.json_fields import parse_address, require, require_integer
-from stepsail.settings.flat_settings import FlatSettings, pairs_of_object, read_router_settings
+from stepsail.settings.flat_settings import FlatSettings, flatten_json, read_router_settings
 from stepsail.settings.model import InstanceSettings, Route
 
 REREAD_INTERVAL = 0.2  # s between two reads of a file that cannot be read, as while it is being replaced
@@ -80,7 +80,7 @@
 
 
 def _parse(content: dict[str, Any], environ: Mapping[str, str]) -> PlatformConfiguration:
-    pairs = pairs_of_object(require(content, wire_names.CONFIG_SETTINGS, dict))
+    pairs = flatten_json(require(content, wire_names.CONFIG_SETTINGS, dict))
     flat = FlatSettings(pairs)
     router = read_router_settings(pairs)
     if not router.request_classes or router.zone >= len(flat.texts("Zones")):
@@ -143,7 +143,7 @@
         log_format="json",
         log_level="info",
         max_server_connections=server_connections,
-        connection_rest=CONNECTION_REST,
+        connection_reuse_delay=CONNECTION_REST,
         idle_connection_ttl=IDLE_CONNECTION_SHARE * router.idle_timeout,
         first_request_timeout=FIRST_REQUEST_TIMEOUT,
         evictable_idle_time=EVICTABLE_IDLE_TIME,
--- a/stepsail/proxy/upstream_pool.py
+++ b/stepsail/proxy/upstream_pool.py
@@ -76,16 +76,16 @@
     def acquire(self, upstream: Upstream, deadline: float) -> ClientConnection | None:
         """Return an idle connection or a new one; None if a connection limit is reached.
 
-        A connection is not reused until it has been idle for `connection_rest`. If the server sends surplus
-        bytes after a response, they arrive within that time and the connection is closed; otherwise they
-        would be taken for the response to the next request.
+        A connection is not reused until it has been idle for `connection_reuse_delay`. If the server sends
+        surplus bytes after a response, they arrive within that time and the connection is closed; otherwise
+        they would be taken for the response to the next request.
 
         Raises:
             OSError: A new connection could not be made.
             TimedOut: A new connection was not made in time.
         """
         idle_limit = self.idle_timeout.safe_idle_time(self.loop.now())
-        while connection := upstream.take_idle(self.loop.now() - self.settings.connection_rest):
+        while connection := upstream.take_idle(self.loop.now() - self.settings.connection_reuse_delay):
             if connection.used_at >= self.loop.now() - idle_limit and not connection.stale():
                 return connection
             self._close(upstream, connection)
--- a/stepsail/settings/__init__.py
+++ b/stepsail/settings/__init__.py
@@ -1,7 +1,7 @@
-"""The settings of an instance: files with their grammar and checks, the settings of others, and the typed result.
+"""The settings of an instance: parsing and checking of settings files, flat settings, and the typed result.
 
-The grammar and its checks take long to import and are needed only to read a file, so `load_settings` is imported at
-its first use: an instance that is configured otherwise starts without them.
+The parser and the checks take long to import and are needed only to read a settings file. `load_settings` is
+therefore imported at its first use: an instance that gets its settings in another form starts without them.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -16,7 +16,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import `load_settings` at its first use."""
+    """Import `load_settings` when it is first accessed."""
     if name == "load_settings":
         from stepsail.settings.loader import load_settings
 
--- a/stepsail/settings/argument_reader.py
+++ b/stepsail/settings/argument_reader.py
@@ -1,10 +1,10 @@
-"""Reads the values of one line by the arguments of its setting."""
+"""Parses the values on one line of a settings file according to the arguments of the setting."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from stepsail.settings.errors import InvalidValue, Place, SettingsError
+from stepsail.settings.errors import InvalidValue, SettingsError, SourceLocation
 from stepsail.settings.grammar import Value
 from stepsail.settings.schema import Argument, Setting
 from stepsail.settings.tree import SettingsTree, TreePath
@@ -12,48 +12,49 @@
 
 
 class ArgumentReader:
-    """Reads one line; errors go to the tree."""
+    """Parses the values on one line and adds errors to the settings tree."""
 
     def __init__(
         self,
         tree: SettingsTree,
         setting: Setting,
         values: tuple[Value, ...],
-        place: Place,
+        location: SourceLocation,
         path: TreePath,
     ) -> None:
         self.tree = tree
         self.setting = setting
         self.remaining = list(values)
-        self.place = place
+        self.location = location
         self.path = path
         self.has_invalid_value = False
 
     def read(self) -> Any:
-        """Return the setting's value; None if it is invalid, which is recorded."""
+        """Return the setting's value; if it is invalid, add an error to the tree and return None."""
         try:
-            found = self._read_arguments()
+            values = self._read_arguments()
         except SettingsError as error:
-            self.tree.add_error(error.place, error.message)
+            self.tree.add_error(error.location, error.message)
             return None
         if self.has_invalid_value:
             return None
-        return found[self.setting.arguments[0].name] if self.setting.has_single_value else found
+        return values[self.setting.arguments[0].name] if self.setting.has_single_value else values
 
     def _read_arguments(self) -> dict[str, Any]:
-        found: dict[str, Any] = {}
+        values: dict[str, Any] = {}
         for argument in self.setting.arguments:
             if self._take_keyword(argument) and self._has_value(argument):
-                found[argument.name] = self._read_argument(argument)
+                values[argument.name] = self._read_argument(argument)
         if self.remaining:
             extra = self.remaining[0]
             raise SettingsError(
-                self._place_of(extra), f"'{extra.text}' is one value too many: {usage(self.setting)}"
+                self._location_of(extra),
+                f"'{extra.text}' is one value too many: {usage(self.setting)}",
             )
-        return found
+        return values
 
     def _take_keyword(self, argument: Argument) -> bool:
-        """Take the keyword before an argument; whether the argument may follow."""
+        """Consume the keyword of an argument, if it has one; return whether its value may follow."""
         if not argument.keyword:
             return True
         if self.remaining and self.remaining[0].text == argument.keyword:
@@ -61,14 +62,14 @@
             return True
         if argument.optional:
             return False
-        place = self._place_of(self.remaining[0]) if self.remaining else self.place
-        raise SettingsError(place, f"expected '{argument.keyword}', then its value: {usage(self.setting)}")
+        location = self._location_of(self.remaining[0]) if self.remaining else self.location
+        raise SettingsError(location, f"expected '{argument.keyword}', then its value: {usage(self.setting)}")
 
     def _has_value(self, argument: Argument) -> bool:
         if self.remaining or argument.optional:
             return bool(self.remaining)
         raise SettingsError(
-            self.place, f"'{self.setting.name}' lacks its {argument.name}: {usage(self.setting)}"
+            self.location, f"'{self.setting.name}' lacks its {argument.name}: {usage(self.setting)}"
         )
 
     def _read_argument(self, argument: Argument) -> Any:
@@ -79,32 +80,32 @@
         return [self._parse(argument, value) for value in values]
 
     def _parse(self, argument: Argument, value: Value) -> Any:
-        place = self._place_of(value)
-        self.tree.places[self._path_of(argument)] = place
+        location = self._location_of(value)
+        self.tree.locations[self._path_of(argument)] = location
         try:
             return VALUE_KINDS[argument.kind].parse(value.text)
         except InvalidValue as error:
-            self.tree.add_error(place, f"'{value.text}' is not {error.expected}")
+            self.tree.add_error(location, f"'{value.text}' is not {error.expected}")
             self.has_invalid_value = True
             return None
 
     def _path_of(self, argument: Argument) -> TreePath:
         return self.path if self.setting.has_single_value else (*self.path, argument.name)
 
-    def _place_of(self, value: Value) -> Place:
-        return Place(self.place.file, self.place.line, value.column)
+    def _location_of(self, value: Value) -> SourceLocation:
+        return SourceLocation(self.location.file, self.location.line, value.column)
 
 
 def usage(setting: Setting) -> str:
-    """Show how a setting is written, such as `stage SHARE cap CAP`."""
+    """Return the syntax of a setting, such as `stage SHARE cap CAP`."""
     block = ["{ … }"] if setting.block else []
-    return " ".join([setting.name, *map(_show_argument, setting.arguments), *block])
+    return " ".join([setting.name, *map(_argument_usage, setting.arguments), *block])
 
 
-def _show_argument(argument: Argument) -> str:
-    shown = "|".join(argument.bounds["enum"]) if "enum" in argument.bounds else argument.name.upper()
+def _argument_usage(argument: Argument) -> str:
+    text = "|".join(argument.bounds["enum"]) if "enum" in argument.bounds else argument.name.upper()
     if argument.keyword:
-        shown = f"{argument.keyword} {shown}"
+        text = f"{argument.keyword} {text}"
     if argument.variadic:
-        shown += " …"
-    return f"[{shown}]" if argument.optional else shown
+        text += " …"
+    return f"[{text}]" if argument.optional else text
--- a/stepsail/settings/consistency.py
+++ b/stepsail/settings/consistency.py
@@ -1,21 +1,21 @@
-"""Checks across settings: what no single setting can be blamed for. Messages use the words of the file."""
+"""Checks of consistency between settings. Messages name a setting as it is written in the file."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from stepsail.settings.definitions import REQUIRED_IN_SHAPE_2, SHAPE_WITHOUT_DEFAULTS
+from stepsail.settings.definitions import FORMAT_WITHOUT_DEFAULTS, REQUIRED_IN_FORMAT_2
 from stepsail.settings.model import MAX_ZONE_NAME_LENGTH
 from stepsail.settings.tree import SettingsTree
 
-VOTER_COUNTS = (3, 5)  # an odd number, so that a majority is more than half
+VOTER_COUNTS = (3, 5)  # odd, so that the voters cannot split into two equal halves
 
 Values = dict[str, Any]
 
 
 def check_consistency(tree: SettingsTree) -> None:
-    """Add an error to the tree for each contradiction between its settings."""
-    _check_shape(tree)
+    """Add an error to the tree for each inconsistency between settings."""
+    _check_required_in_format_2(tree)
     _check_zones(tree)
     _check_gossip(tree)
     _check_policy(tree)
@@ -27,54 +27,56 @@
     _check_peers(tree)
 
 
-def _check_shape(tree: SettingsTree) -> None:
-    if tree.values.get("shape", 1) != SHAPE_WITHOUT_DEFAULTS:
+def _check_required_in_format_2(tree: SettingsTree) -> None:
+    if tree.values.get("shape", 1) != FORMAT_WITHOUT_DEFAULTS:
         return
-    for block, names in REQUIRED_IN_SHAPE_2.items():
+    for block, names in REQUIRED_IN_FORMAT_2.items():
         missing = [name for name in names if name not in tree.values.get(block, {})]
         if missing:
-            message = f"missing in {block}: {', '.join(missing)}; with 'shape 2' none is taken by default"
-            tree.add_error(tree.place_of(block), message)
+            message = (
+                f"missing in {block}: {', '.join(missing)}; with 'shape 2' these settings have no default"
+            )
+            tree.add_error(tree.location_of(block), message)
 
 
 def _check_zones(tree: SettingsTree) -> None:
     zone = tree.values["zone"]
     zones = tree.values["zones"]
     if zone not in zones:
-        tree.add_error(tree.place_of("zone"), f"'{zone}' is none of the zones {', '.join(zones)}")
+        tree.add_error(tree.location_of("zone"), f"'{zone}' is not one of the zones {', '.join(zones)}")
     if len(set(zones)) < len(zones):
-        tree.add_error(tree.place_of("zones"), "a zone is named twice")
+        tree.add_error(tree.location_of("zones"), "a zone is listed twice")
     if "view" in tree.values and len(zone) > MAX_ZONE_NAME_LENGTH:
-        message = f"with a view a zone's name has at most {MAX_ZONE_NAME_LENGTH} characters"
-        tree.add_error(tree.place_of("zone"), message)
+        message = f"with 'view', the name of a zone has at most {MAX_ZONE_NAME_LENGTH} characters"
+        tree.add_error(tree.location_of("zone"), message)
 
 
 def _check_gossip(tree: SettingsTree) -> None:
     if "neighbours" in tree.values and tree.values.get("view", {}).get("speak"):
-        message = "umpires speak by 'neighbours' already; take one of the two out"
-        tree.add_error(tree.place_of("view", "speak"), message)
+        message = "instances already gossip through 'neighbours'; remove one of the two"
+        tree.add_error(tree.location_of("view", "speak"), message)
 
 
 def _check_policy(tree: SettingsTree) -> None:
     if "policy" not in tree.values:
         return
     policy = tree.values["policy"]
-    place = tree.place_of("policy")
+    location = tree.location_of("policy")
     voters = [voter["number"] for voter in policy.get("keeper", [])]
     distinct = set(voters)
     if "view" not in tree.values:
-        tree.add_error(place, "its words go over the view's ports; add 'view'")
+        tree.add_error(location, "policy messages use the ports of 'view'; add 'view'")
     if len(distinct) not in VOTER_COUNTS or len(distinct) < len(voters):
-        tree.add_error(place, "three or five keepers, each named once")
+        tree.add_error(location, "expected three or five settings 'keeper', each with a different number")
     if tree.values["umpire"]["number"] in voters and "keep" not in policy:
-        tree.add_error(place, "this umpire is a keeper; add 'keep FOLDER'")
+        tree.add_error(location, "this instance is a 'keeper'; add 'keep FOLDER'")
 
 
 def _check_instance_number(tree: SettingsTree) -> None:
     count = tree.values["umpire"]["count"]
     if tree.values["umpire"]["number"] >= count:
-        message = f"umpires are numbered from 0 to {count - 1}"
-        tree.add_error(tree.place_of("umpire", "number"), message)
+        message = f"instances are numbered from 0 to {count - 1}"
+        tree.add_error(tree.location_of("umpire", "number"), message)
 
 
 def _check_request_classes(tree: SettingsTree) -> None:
@@ -83,11 +85,11 @@
     for index, request_class in enumerate(tree.values["product"]):
         name = request_class["name"]
         if name in names:
-            tree.add_error(tree.place_of("product", index), f"product '{name}' stands twice")
+            tree.add_error(tree.location_of("product", index), f"product '{name}' is defined twice")
         names.add(name)
         if request_class["target"] > request_class["abandon"]:
-            message = "the target time is after the abandon time"
-            tree.add_error(tree.place_of("product", index, "target"), message)
+            message = "the target time is longer than the abandon time"
+            tree.add_error(tree.location_of("product", index, "target"), message)
         _check_idempotency(tree, index, request_class["repeats"])
         _check_routes(tree, index, request_class, classes_by_route)
 
@@ -95,18 +97,18 @@
 def _check_idempotency(tree: SettingsTree, index: int, repeats: Values) -> None:
     if (repeats["kind"] == "labelled") != ("window" in repeats):
         message = "write 'labelled all|zone|cell TIME'; the other kinds take no group and no time"
-        tree.add_error(tree.place_of("product", index, "repeats"), message)
+        tree.add_error(tree.location_of("product", index, "repeats"), message)
 
 
 def _check_routes(
     tree: SettingsTree, index: int, request_class: Values, classes_by_route: dict[tuple[str, str], str]
 ) -> None:
-    """Check that no route means two request classes; `classes_by_route` holds those seen so far."""
-    for number, entry in enumerate(request_class["route"]):
-        route = (entry["method"], entry["path"])
+    """Check that no route belongs to two classes, and add this class's routes to `classes_by_route`."""
+    for route_index, route_values in enumerate(request_class["route"]):
+        route = (route_values["method"], route_values["path"])
         if route in classes_by_route:
-            message = f"{' '.join(route)} means '{classes_by_route[route]}' already"
-            tree.add_error(tree.place_of("product", index, "route", number), message)
+            message = f"{' '.join(route)} already belongs to product '{classes_by_route[route]}'"
+            tree.add_error(tree.location_of("product", index, "route", route_index), message)
         classes_by_route.setdefault(route, request_class["name"])
 
 
@@ -115,24 +117,27 @@
     for index, stage in enumerate(stages):
         if index and stage["share"] < stages[index - 1]["share"]:
             message = "a stage is smaller than the one before it"
-            tree.add_error(tree.place_of("release", "stage", index), message)
+            tree.add_error(tree.location_of("release", "stage", index), message)
         if stage["cap"] < stage["share"]:
             message = "the cap is under the stage's share of the fleet; its servers would stand idle"
-            tree.add_error(tree.place_of("release", "stage", index, "cap"), message)
+            tree.add_error(tree.location_of("release", "stage", index, "cap"), message)
 
 
 def _check_idempotent_only_stages(tree: SettingsTree) -> None:
     stage_count = len(tree.values["release"]["stage"])
     if tree.values["release"].get("guarded-stages", 0) > stage_count:
         message = f"there are only {stage_count} stages"
-        tree.add_error(tree.place_of("release", "guarded-stages"), message)
+        tree.add_error(tree.location_of("release", "guarded-stages"), message)
 
 
 def _check_key_affinity(tree: SettingsTree) -> None:
     key_affinity = tree.values.get("servers", {}).get("warm-keys")
     if key_affinity and "subject-secret" not in tree.values.get("door", {}):
-        message = "umpires agree on a subject's server only by a secret in common; add: door { subject-secret TEXT }"
-        tree.add_error(tree.place_of("servers", "warm-keys"), message)
+        message = (
+            "instances choose the same server for a key only if they share a secret; "
+            "add: door { subject-secret TEXT }"
+        )
+        tree.add_error(tree.location_of("servers", "warm-keys"), message)
 
 
 def _check_peers(tree: SettingsTree) -> None:
@@ -140,6 +145,6 @@
     for index, peer in enumerate(tree.values.get("neighbours", {}).get("neighbour", [])):
         number = peer["number"]
         if number >= tree.values["umpire"]["count"] or number in numbers:
-            place = tree.place_of("neighbours", "neighbour", index)
-            tree.add_error(place, "no such umpire, or named twice")
+            location = tree.location_of("neighbours", "neighbour", index)
+            tree.add_error(location, "no instance has this number, or the number is given twice")
         numbers.add(number)
--- a/stepsail/settings/definitions.py
+++ b/stepsail/settings/definitions.py
@@ -1,14 +1,15 @@
-"""All settings of an instance's file, and those that have no default in the second shape of files."""
+"""All settings of an instance's settings file, and those that version 2 of the file format requires."""
 
 from __future__ import annotations
 
 from stepsail.settings.process_definitions import CAPTURE, GOSSIP, LISTENER, MEMBERSHIP, POLICY, TRAIL
-from stepsail.settings.schema import SHARE, TIME, Setting, argument
+from stepsail.settings.schema import SHARE_BOUNDS, TIME_BOUNDS, Setting, argument
 from stepsail.settings.service_definitions import LIMITS, RELEASE, REQUEST_CLASS, SERVERS
 
-SHAPE_WITHOUT_DEFAULTS = 2
-# What rules and votes depend on differs between deployments, so that files of shape 2 have to say it.
-REQUIRED_IN_SHAPE_2 = {
+FORMAT_WITHOUT_DEFAULTS = 2
+# The rules and the votes depend on these settings, whose right values differ between deployments. Files with
+# `shape 2` therefore have to give them.
+REQUIRED_IN_FORMAT_2 = {
     "release": (
         "control",
         "replaces",
@@ -28,38 +29,38 @@
 INSTANCE = (
     Setting(
         "shape",
-        "1: what is absent is taken by default. 2: all that rules and votes depend on has to be "
-        "there; see migration.md.",
+        "Version of the file format. 1: absent settings have their defaults. 2: all settings that rules "
+        "and votes depend on are required; see migration.md.",
         (argument("version", "whole", minimum=1, maximum=2),),
         default=1,
     ),
     Setting(
         "umpire",
-        "This instance's number, from 0, and how many there are.",
+        "Number of this instance, counted from 0, and number of instances in the fleet.",
         (argument("number", "whole"), argument("count", "whole", keyword="of", minimum=1, maximum=100000)),
         required=True,
     ),
     Setting(
         "zones",
-        "All zones, by name.",
+        "Names of all zones.",
         (argument("names", "text", variadic=True),),
         required=True,
     ),
     Setting(
         "zone",
-        "The zone of this instance.",
+        "Zone of this instance.",
         (argument("name", "text"),),
         required=True,
     ),
     Setting(
         "listen",
-        "Where clients connect.",
+        "Address on which clients connect.",
         (argument("address", "address"),),
         required=True,
     ),
     Setting(
         "seed",
-        "Seed of this instance's random choices; drawn at the start if absent.",
+        "Seed of this instance's random choices; if absent, drawn at each start.",
         (argument("number", "whole"),),
     ),
     Setting(
@@ -73,10 +74,10 @@
     ),
     Setting(
         "tenant",
-        "A tenant, its share of the service, and requests a second within its share.",
+        "A tenant, its share of the requests, and its quota of requests per second.",
         (
             argument("name", "text"),
-            argument("share", "share", keyword="share", **SHARE),
+            argument("share", "share", keyword="share", **SHARE_BOUNDS),
             argument("quota", "number", keyword="quota", optional=True),
         ),
         repeatable=True,
@@ -84,40 +85,40 @@
     ),
     Setting(
         "release",
-        "How releases go.",
+        "Settings of releases.",
         (),
         block=RELEASE,
         required=True,
     ),
     Setting(
         "servers",
-        "What is known of servers.",
+        "Settings of the servers.",
         (),
         block=SERVERS,
     ),
     Setting(
         "limits",
-        "What an instance may do.",
+        "What an instance may do, and the costs of cross-zone attempts and health checks.",
         (),
         block=LIMITS,
     ),
     Setting(
         "door",
-        "Bounds towards clients.",
+        "Limits on clients' connections and requests, and the headers of requests.",
         (),
         block=LISTENER,
         field="listener",
     ),
     Setting(
         "conveyor",
-        "Where release control answers.",
+        "Address of release control.",
         (argument("address", "address"),),
         required=True,
         field="release_control",
     ),
     Setting(
         "roster",
-        "Where endpoint discovery answers. asked: it is polled; pushed: it tells of changes unasked. "
+        "Address of endpoint discovery. asked: it is polled; pushed: it sends changes by itself. "
         "'keep' names the file that caches the last list across a restart.",
         (
             argument("address", "address"),
@@ -129,28 +130,30 @@
     ),
     Setting(
         "neighbours",
-        "Where this instance hears its peers' gossip; absent: there is none.",
+        "Address on which this instance receives gossip from its peers; if absent, it has no such address.",
         (argument("address", "address"),),
         block=GOSSIP,
         field="gossip",
     ),
     Setting(
         "view",
-        "Where this instance takes part in the fleet's membership, and where the others reach it if "
-        "that is elsewhere; absent: it takes their number from 'umpire'. See fleet.md.",
+        "Address on which this instance takes part in the fleet's membership, and the address at which "
+        "the others reach it if it is a different one; if absent, the number of instances is that in "
+        "'umpire'. See fleet.md.",
         (argument("address", "address"), argument("reached", "address", keyword="reached", optional=True)),
         block=MEMBERSHIP,
         field="membership",
     ),
     Setting(
         "policy",
-        "Changes of policy hold at all instances or at none; their messages use the view's ports.",
+        "Policy changes, which take effect at all instances or at none; their messages use the ports of "
+        "'view'.",
         (),
         block=POLICY,
     ),
     Setting(
         "log",
-        "Format (json, console) and least level of the log.",
+        "Format (json, console) and minimum level of the log.",
         (
             argument("form", "text", enum=["json", "console"]),
             argument("level", "text", optional=True, enum=["debug", "info", "warning", "error"]),
@@ -158,7 +161,7 @@
     ),
     Setting(
         "capture",
-        "Folder where all events and commands of the router are recorded, as a ring of segments.",
+        "Folder in which all events and commands of the router are recorded, in a ring of segments.",
         (argument("folder", "text"),),
         block=CAPTURE,
     ),
@@ -170,8 +173,8 @@
     ),
     Setting(
         "leave-within",
-        "After a stop signal, longest time to answer what is in flight.",
-        (argument("time", "time", **TIME),),
+        "Longest time after a stop signal for answering the requests in flight.",
+        (argument("time", "time", **TIME_BOUNDS),),
         default=15.0,
         field="shutdown_timeout",
     ),
--- a/stepsail/settings/errors.py
+++ b/stepsail/settings/errors.py
@@ -1,4 +1,4 @@
-"""The errors of settings files. All errors of a file are collected, so that one check tells them all."""
+"""Errors in settings files. All errors of a file are collected, so that one check reports them all."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """A place in a file; line and column count from 1."""
+class SourceLocation:
+    """A position in a settings file; line and column are counted from 1."""
 
     file: str
     line: int
@@ -19,28 +19,28 @@
 
 
 class SettingsException(Exception):
-    """Base of this package's errors."""
+    """Base class of the errors of this package."""
 
 
 class SettingsError(SettingsException):
-    """One error in a file.
+    """One error in a settings file.
 
     Attributes:
-        place: Where it is.
-        message: What is wrong, and what would be right.
+        location: Position of the error.
+        message: What is wrong and how to correct it.
     """
 
-    def __init__(self, place: Place, message: str) -> None:
-        super().__init__(f"{place}: {message}")
-        self.place = place
+    def __init__(self, location: SourceLocation, message: str) -> None:
+        super().__init__(f"{location}: {message}")
+        self.location = location
         self.message = message
 
 
 class InvalidSettings(SettingsException):
-    """A file, with those that it includes, has errors.
+    """A settings file, or a file that it includes, has errors.
 
     Attributes:
-        errors: All of them, in the order in which they were found.
+        errors: All errors, in the order in which they were found.
     """
 
     def __init__(self, errors: Sequence[SettingsError]) -> None:
@@ -49,11 +49,11 @@
 
 
 class SettingsSyntaxError(SettingsException):
-    """A line does not follow the grammar.
+    """A line of a settings file does not follow the grammar.
 
     Attributes:
-        column: Where the fault is, from 1.
-        expected: What the grammar has there.
+        column: Column of the error, counted from 1.
+        expected: What the grammar allows at that column.
     """
 
     def __init__(self, column: int, expected: str) -> None:
@@ -63,10 +63,10 @@
 
 
 class InvalidValue(SettingsException, ValueError):
-    """A value is not of its kind.
+    """A value cannot be parsed as the kind that its argument requires.
 
     Attributes:
-        expected: The kind, with an example.
+        expected: Description of the required kind, usually with an example.
     """
 
     def __init__(self, expected: str) -> None:
--- a/stepsail/settings/flat_settings.py
+++ b/stepsail/settings/flat_settings.py
@@ -1,6 +1,6 @@
-"""Flat settings, pairs of a dotted path and a text: the form in which the simulator and the platform give them.
+"""Flat settings: pairs of a dotted path and a text, as the simulator and the platform pass them.
 
-Both write the same paths; they are mapped to the router's settings here, and nowhere else.
+The simulator and the platform use the same paths. Only this module maps them to the router's settings.
 """
 
 from __future__ import annotations
@@ -31,75 +31,78 @@
 
 
 class FlatSettings:
-    """Typed access to the pairs by path; an absent path reads as empty, zero or false."""
+    """Typed access to flat settings by path; the value of an absent path is empty, zero or false."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self.pairs = pairs
 
     def text(self, path: str, default: str = "") -> str:
-        """Return a text."""
+        """Return the text at a path."""
         return self.pairs.get(path, default)
 
     def number(self, path: str, default: float = 0.0) -> float:
-        """Return a number."""
+        """Return the number at a path."""
         return float(self.pairs.get(path) or default)
 
     def seconds(self, path: str) -> float:
-        """Return a time that stands in milliseconds, in seconds."""
+        """Return the time at a path, which is written in milliseconds, in seconds."""
         return self.number(path) / MS_PER_S
 
     def integer(self, path: str) -> int:
-        """Return a whole number."""
+        """Return the integer at a path."""
         return int(self.number(path))
 
     def flag(self, path: str) -> bool:
-        """Return whether the text is `true`."""
+        """Return whether the text at a path is `true`."""
         return self.text(path) == "true"
 
     def texts(self, path: str) -> tuple[str, ...]:
-        """Return the texts between commas."""
+        """Return the comma-separated texts at a path."""
         return tuple(text for text in self.text(path).split(",") if text)
 
     def numbers(self, path: str) -> tuple[float, ...]:
-        """Return the numbers between commas."""
+        """Return the comma-separated numbers at a path."""
         return tuple(float(text) for text in self.texts(path))
 
 
-def pairs_of_text(text: str) -> dict[str, str]:
-    """Split a text with one `path=value` a line, as the simulator writes it."""
+def parse_pairs(text: str) -> dict[str, str]:
+    """Parse a text with one `path=value` per line, the simulator's form, into pairs."""
     return dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
 
-def pairs_of_object(value: Any, path: str = "") -> dict[str, str]:
-    """Flatten a nested JSON value, as the platform writes it: the same paths with the same values."""
+def flatten_json(value: Any, path: str = "") -> dict[str, str]:
+    """Flatten a nested JSON value, the platform's form, into the pairs that the simulator would write."""
     if isinstance(value, dict):
-        return _pairs_of_mapping(value, path)
+        return _flatten_mapping(value, path)
     if isinstance(value, list) and any(isinstance(item, dict) for item in value):
         pairs = {f"{path}.count": str(len(value))}
         for index, item in enumerate(value):
-            pairs |= pairs_of_object(item, f"{path}.{index}")
+            pairs |= flatten_json(item, f"{path}.{index}")
         return pairs
     if isinstance(value, list):
-        return {path: ",".join(_text_of(item) for item in value)}
-    return {} if value is None else {path: _text_of(value)}
+        return {path: ",".join(_format_scalar(item) for item in value)}
+    return {} if value is None else {path: _format_scalar(value)}
 
 
-def _pairs_of_mapping(mapping: dict[str, Any], path: str) -> dict[str, str]:
+def _flatten_mapping(mapping: dict[str, Any], path: str) -> dict[str, str]:
     pairs: dict[str, str] = {}
     for name, value in mapping.items():
-        pairs |= pairs_of_object(value, f"{path}.{name}" if path else str(name))
+        pairs |= flatten_json(value, f"{path}.{name}" if path else str(name))
     return pairs
 
 
-def _text_of(value: Any) -> str:
-    """Write a value as the simulator does; spaces and commas, which separate values there, become underscores."""
+def _format_scalar(value: Any) -> str:
+    """Format a value as the simulator does.
+
+    Spaces and commas become underscores, as they separate values in the simulator's form.
+    """
     if isinstance(value, bool):
         return "true" if value else "false"
     return re.sub("[ ,]", "_", value) if isinstance(value, str) else str(value)
 
 
 def read_router_settings(pairs: Mapping[str, str]) -> RouterSettings:
-    """Read the router's settings, one field a line; other paths are ignored."""
+    """Build the router's settings from flat settings, one field per line; other paths are ignored."""
     flat = FlatSettings(pairs)
     tenants = range(flat.integer("Realms.count"))
     return RouterSettings(
--- a/stepsail/settings/grammar.py
+++ b/stepsail/settings/grammar.py
@@ -1,4 +1,4 @@
-"""The grammar of one line of a settings file: a word, its values, and perhaps the start or the end of a block."""
+"""Parses one line of a settings file: a setting's name, its values, and the start or end of a block."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from stepsail.settings.errors import SettingsSyntaxError
 
 MAX_LINE_LENGTH = 2000  # characters
-FIRST_PRINTABLE = 32
+FIRST_PRINTABLE = 32  # code point of the space
 
-# Bare values hold anything but space, quotes, braces and the comment sign: addresses need no quotes.
+# Unquoted values may contain any character but whitespace, quotes, braces and `#`: addresses need no quotes.
 GRAMMAR = r"""
     start: [WORD value* [OPEN]] | CLOSE
     value: QUOTED | BARE | WORD
@@ -25,16 +25,16 @@
     %ignore COMMENT
 """
 PARSER = Lark(GRAMMAR, parser="lalr", propagate_positions=True)
-EXPECTED_IN_PLACE_OF = {
-    "{": "'{' after a word, at the end of the line",
+EXPECTED_INSTEAD_OF = {
+    "{": "'{' after a setting, at the end of the line",
     "}": "'}' on a line of its own",
 }
-EXPECTED_LINE = "a word first, then its values, then perhaps '{'"
+EXPECTED_LINE = "the name of a setting, then its values, then optionally '{'"
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """One value as written, without its quotes, and the column it begins in, from 1."""
+    """One value without its quotes, and the column, counted from 1, at which it begins."""
 
     text: str
     column: int
@@ -45,28 +45,28 @@
     """One parsed line.
 
     Attributes:
-        word: The word that it begins with; empty for a blank line, a comment, and the end of a block.
-        column: Where its first token begins, from 1.
-        values: What follows the word.
-        opens: Whether it opens a block.
-        closes: Whether it closes a block.
+        name: Name of the setting; empty for a blank line, a comment, and the end of a block.
+        column: Column of the first token, counted from 1.
+        values: Values after the name.
+        opens: Whether the line opens a block.
+        closes: Whether the line closes a block.
     """
 
-    word: str
+    name: str
     column: int
     values: tuple[Value, ...]
     opens: bool
     closes: bool
 
 
-BLANK_LINE = Line(word="", column=1, values=(), opens=False, closes=False)
+BLANK_LINE = Line(name="", column=1, values=(), opens=False, closes=False)
 
 
 def parse_line(text: str) -> Line:
     """Parse one line.
 
     Raises:
-        SettingsSyntaxError: It does not follow the grammar.
+        SettingsSyntaxError: The line does not follow the grammar.
     """
     _check_characters(text)
     tokens = _tokens(text)
@@ -75,7 +75,7 @@
     first = tokens[0]
     column = first.column or 1
     if first.type == "CLOSE":
-        return Line(word="", column=column, values=(), opens=False, closes=True)
+        return Line(name="", column=column, values=(), opens=False, closes=True)
     opens = tokens[-1].type == "OPEN"
     value_tokens = tokens[1:-1] if opens else tokens[1:]
     return Line(str(first), column, tuple(_value(token) for token in value_tokens), opens, closes=False)
@@ -94,12 +94,12 @@
         tree = PARSER.parse(text)
     except UnexpectedCharacters as error:
         is_open_quote = text[error.column - 1 :].startswith('"')
-        expected = "a closing quote" if is_open_quote else "a word in small letters, digits and hyphens"
+        expected = "a closing quote" if is_open_quote else "a name in lower-case letters, digits and hyphens"
         raise SettingsSyntaxError(error.column, expected) from None
     except UnexpectedInput as error:
         column = max(1, getattr(error, "column", 1))
         token = str(getattr(error, "token", ""))
-        raise SettingsSyntaxError(column, EXPECTED_IN_PLACE_OF.get(token, EXPECTED_LINE)) from None
+        raise SettingsSyntaxError(column, EXPECTED_INSTEAD_OF.get(token, EXPECTED_LINE)) from None
     return [token for token in tree.scan_values(lambda _: True) if isinstance(token, Token)]
 
 
--- a/stepsail/settings/loader.py
+++ b/stepsail/settings/loader.py
@@ -1,4 +1,4 @@
-"""Loads a settings file into the typed settings that an instance runs by."""
+"""Loads a settings file into the typed settings of an instance."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from stepsail.settings.schema import with_defaults
 from stepsail.settings.service_definitions import LIMITS, RELEASE, REQUEST_CLASS, SERVERS
 
-# Columns of a load report in settings files, and the router's names of them.
+# Columns of a load report: their names in settings files and in the router's settings.
 LOAD_REPORT_COLUMNS = {"queue": "q", "inflight": "rif", "util": "busy", "latency_ms": "lat_ms"}
 NO_LOAD_REPORT = {"how": "answers", "columns": []}
 DEFAULT_LOG_FORMAT = "json"
@@ -37,10 +37,10 @@
 
 
 def load_settings(file: Path) -> InstanceSettings:
-    """Load a file.
+    """Load a settings file.
 
     Raises:
-        InvalidSettings: It has errors; all of them are told.
+        InvalidSettings: The file has errors; the exception lists all of them.
     """
     tree = SettingsReader(INSTANCE).read(file)
     check_consistency(tree)
@@ -50,7 +50,7 @@
 
 
 def _instance_settings(top: Values, folder: Path) -> InstanceSettings:
-    """Build the settings, one field a line; paths are relative to the folder of the file."""
+    """Build the settings from the top-level values, one field per line; paths are relative to `folder`."""
     servers = with_defaults(SERVERS, top["servers"] or {})
     limits = with_defaults(LIMITS, top["limits"] or {})
     listener = with_defaults(LISTENER, top["listener"] or {})
@@ -69,7 +69,7 @@
         listen=address_of(top["listen"]),
         release_control_address=address_of(top["release_control"]),
         discovery_address=address_of(top["discovery"]["address"]),
-        endpoint_cache_file=_path(folder, top["discovery"], "keep"),
+        endpoint_cache_file=_resolve_path(folder, top["discovery"], "keep"),
         gossip_address=address_of(top["gossip"]["address"]) if top["gossip"] else None,
         peer_addresses=_addresses_by_number(gossip["peers"]),
         seed=top["seed"],
@@ -89,7 +89,7 @@
         shutdown_timeout=top["shutdown_timeout"],
         log_format=log.get("form", DEFAULT_LOG_FORMAT),
         log_level=log.get("level", DEFAULT_LOG_LEVEL),
-        trail_folder=_path(folder, top["trail"], "folder"),
+        trail_folder=_resolve_path(folder, top["trail"], "folder"),
         trail_durability=trail["durability"],
         trail_full_policy=trail["full_policy"],
         trail_commit_interval=trail["commit_interval"] if top["trail"] else 0.0,
@@ -97,7 +97,7 @@
         trail_reserve_bytes=trail["reserve_bytes"],
         trail_max_age=trail["max_age"],
         trail_max_bytes=trail["max_bytes"],
-        capture_folder=_path(folder, top["capture"], "folder"),
+        capture_folder=_resolve_path(folder, top["capture"], "folder"),
         capture_max_bytes=capture["max_bytes"],
         capture_segment_bytes=capture["segment_bytes"],
         capture_max_age=capture["max_age"],
@@ -107,7 +107,7 @@
 
 
 def _router_settings(top: Values, servers: Values, limits: Values, gossip_enabled: bool) -> RouterSettings:
-    """Build the router's settings, one field a line."""
+    """Build the router's settings from the top-level values and two blocks, one field per line."""
     release = with_defaults(RELEASE, top["release"])
     load_report = servers["load_report"] or NO_LOAD_REPORT
     tenants = top["tenants"] or []
@@ -203,8 +203,8 @@
     return {entry["number"]: address_of(entry["address"]) for entry in entries or []}
 
 
-def _path(folder: Path, values: Values | None, name: str) -> Path | None:
-    """Return the path that a setting gives, if it stands and gives one."""
+def _resolve_path(folder: Path, values: Values | None, name: str) -> Path | None:
+    """Return the path in a setting's values, resolved against the folder; None if it is absent."""
     if values is None or name not in values:
         return None
     return folder / str(values[name])
--- a/stepsail/settings/migration.py
+++ b/stepsail/settings/migration.py
@@ -1,7 +1,8 @@
-"""Rewrites a settings file of shape 1 in shape 2, and tells an operator what is to be decided.
+"""Rewrites a settings file of format version 1 (`shape 1`) in version 2, with notes for the operator.
 
-In shape 2 nothing that rules and votes depend on is left to a default. What the old file left out is written as the
-default that has held so far, and noted; nothing is decided here.
+Version 2 has no defaults for settings on which rules and votes depend. For each of them that the old file
+omits, the new file gives the default of version 1, and a note asks the operator to decide on it. The
+migration decides nothing.
 """
 
 from __future__ import annotations
@@ -14,27 +15,28 @@
 from typing import Any
 
 from stepsail.settings.consistency import check_consistency
-from stepsail.settings.definitions import INSTANCE, REQUIRED_IN_SHAPE_2, SHAPE_WITHOUT_DEFAULTS
+from stepsail.settings.definitions import FORMAT_WITHOUT_DEFAULTS, INSTANCE, REQUIRED_IN_FORMAT_2
 from stepsail.settings.errors import InvalidSettings
 from stepsail.settings.loader import load_settings
 from stepsail.settings.reader import INCLUDE, SettingsReader
 from stepsail.settings.schema import Argument, Setting, find_setting
 from stepsail.settings.tree import SettingsTree
 
-PATH_SETTINGS = (("capture", "folder"), ("roster", "keep"), ("trail", "folder"))  # relative to the file
+# Settings with a path, which may be relative to the folder of the settings file.
+PATH_SETTINGS = (("capture", "folder"), ("roster", "keep"), ("trail", "folder"))
 INDENT = "    "
 SPECIAL_CHARACTERS = '"{}#\\'
 
-Decisions = Mapping[tuple[str, str], Any]  # (block, setting) to the value that was decided
+Decisions = Mapping[tuple[str, str], Any]  # (block, setting) to the value that the operator decided on
 
 
 @dataclass(frozen=True, slots=True)
 class Migration:
-    """A file's counterpart in shape 2.
+    """The result of rewriting a settings file in format version 2.
 
     Attributes:
-        text: Its text; empty for a file that is of shape 2 already.
-        notes: What an operator is told, one line each.
+        text: Text of the new file; empty if the old file has version 2 already.
+        notes: Notes for the operator, one line each.
     """
 
     text: str
@@ -42,11 +44,11 @@
 
 
 def migrate_file(file: Path, folder: Path, decisions: Decisions) -> Migration:
-    """Rewrite a file for a folder.
+    """Rewrite a settings file in format version 2, without writing the new file.
 
     Args:
         file: The old file.
-        folder: Where the new one will be.
+        folder: Folder of the new file.
         decisions: Values that replace those of the old file and its defaults.
 
     Raises:
@@ -56,23 +58,23 @@
     check_consistency(tree)
     if tree.errors:
         raise InvalidSettings(tree.errors)
-    if tree.values.get("shape", 1) == SHAPE_WITHOUT_DEFAULTS:
-        return Migration("", (f"{tree.place_of('shape')}: this file is of the new shape already",))
+    if tree.values.get("shape", 1) == FORMAT_WITHOUT_DEFAULTS:
+        return Migration("", (f"{tree.location_of('shape')}: this file already has 'shape 2'",))
     notes = [*_notes_on_comments(tree), *_notes_on_paths(tree, file, folder)]
-    values = {**tree.values, "shape": SHAPE_WITHOUT_DEFAULTS}
-    for block in REQUIRED_IN_SHAPE_2:
+    values = {**tree.values, "shape": FORMAT_WITHOUT_DEFAULTS}
+    for block in REQUIRED_IN_FORMAT_2:
         values[block], block_notes = _complete_block(tree, block, decisions)
         notes += block_notes
-    notes += _notes_on_decisions(tree, values)
-    return Migration("\n".join(_write_block(INSTANCE, values)) + "\n", tuple(notes))
+    notes += _notes_on_open_decisions(tree, values)
+    return Migration("\n".join(_format_block(INSTANCE, values)) + "\n", tuple(notes))
 
 
 def write_settings(file: Path, text: str, overwrite: bool) -> None:
-    """Write a file that passes the checks, whole or not at all.
+    """Write a settings file atomically, provided that its text passes the checks.
 
     Raises:
-        OSError: It cannot be written, or is there already and `overwrite` is false.
-        InvalidSettings: It would not pass the checks.
+        OSError: The file cannot be written, or exists already and `overwrite` is false.
+        InvalidSettings: The text does not pass the checks.
     """
     temporary = file.with_name(f".{file.name}.{os.getpid()}")
     try:
@@ -84,107 +86,114 @@
         if overwrite:
             temporary.replace(file)
         else:
-            os.link(temporary, file)  # unlike a rename, never over a file that was created meanwhile
+            os.link(temporary, file)  # unlike a rename, fails if the file has been created meanwhile
     finally:
         temporary.unlink(missing_ok=True)
 
 
 def _complete_block(tree: SettingsTree, block: str, decisions: Decisions) -> tuple[dict[str, Any], list[str]]:
-    """Return a block's values with nothing left to a default, and the notes on what was added."""
+    """Return a block's values, complete for format version 2, and notes on added or replaced values."""
     values = dict(tree.values.get(block, {}))
     notes: list[str] = []
-    for name in REQUIRED_IN_SHAPE_2[block]:
+    for name in REQUIRED_IN_FORMAT_2[block]:
         setting = find_setting(find_setting(INSTANCE, block).block, name)
-        place = tree.place_of(block, name)
+        location = tree.location_of(block, name)
         if (block, name) in decisions:
-            replaced = f" in place of '{_write_setting(setting, values[name])}'" if name in values else ""
+            replaced = f", in place of '{_format_setting(setting, values[name])}'" if name in values else ""
             values[name] = decisions[block, name]
-            notes.append(f"{place}: '{_write_setting(setting, values[name])}' as decided{replaced}")
+            notes.append(
+                f"{location}: set to '{_format_setting(setting, values[name])}' as decided{replaced}"
+            )
         elif name not in values:
             values[name] = setting.default
             notes.append(
-                f"{place}: {block} {name} was not said; decide whether "
-                f"'{_write_setting(setting, setting.default)}', its default, is what the new deployment does"
+                f"{location}: {block} {name} is not set; decide whether "
+                f"'{_format_setting(setting, setting.default)}', its default, is right for the new deployment"
             )
     return values, notes
 
 
 def _notes_on_comments(tree: SettingsTree) -> Iterator[str]:
-    """Note what of the old files' text is not carried over."""
-    for name in sorted({place.file for place in tree.places.values()}):
+    """Note comments and include lines, which are not copied from the old files."""
+    for name in sorted({location.file for location in tree.locations.values()}):
         if not Path(name).is_file():
             continue
         for number, line in enumerate(Path(name).read_text("utf-8").split("\n"), 1):
             if line.strip().startswith("#"):
                 yield f"{name}:{number}: a comment is not carried over"
             elif line.split()[:1] == [INCLUDE]:
-                yield f"{name}:{number}: what is included is written out in its place"
+                yield f"{name}:{number}: the settings of the included file replace this line"
 
 
 def _notes_on_paths(tree: SettingsTree, file: Path, folder: Path) -> Iterator[str]:
-    """Note relative paths that mean another place beside the new file."""
+    """Note relative paths, which have another meaning if the new file is in another folder."""
     if folder.resolve() == file.parent.resolve():
         return
     for block, name in PATH_SETTINGS:
         path = (tree.values.get(block) or {}).get(name)
         if path and not Path(path).is_absolute():
             yield (
-                f"{tree.place_of(block)}: '{path}' will be read beside the new file; move it, or write its "
-                "whole path"
+                f"{tree.location_of(block)}: '{path}' will be relative to the folder of the new file; "
+                "move the file, or write its absolute path"
             )
 
 
-def _notes_on_decisions(tree: SettingsTree, values: dict[str, Any]) -> Iterator[str]:
-    """Note what the new shape makes worth a decision."""
+def _notes_on_open_decisions(tree: SettingsTree, values: dict[str, Any]) -> Iterator[str]:
+    """Note other settings on which the operator should decide."""
     if not values["release"]["one-way"]:
         yield (
-            f"{tree.place_of('release', 'one-way')}: keys may go back to an earlier build; decide: --one-way yes"
+            f"{tree.location_of('release', 'one-way')}: requests with the same key may go back to an earlier "
+            "build; to prevent this, add --one-way yes"
         )
     elif "subject-header" not in tree.values.get("door", {}):
-        yield (f"{tree.place_of('door')}: keys go one way by the header 'Subject'; see that clients send it")
+        yield (
+            f"{tree.location_of('door')}: sticky keys are taken from the header 'Subject'; "
+            "make sure that clients send it"
+        )
     if "neighbours" not in values:
         yield (
-            f"{tree.place_of()}: umpires do not speak to each other; decide whether the new ones may: neighbours"
+            f"{tree.location_of()}: instances do not gossip with each other; "
+            "add 'neighbours' if the new ones should"
         )
 
 
-def _write_block(settings: tuple[Setting, ...], values: Mapping[str, Any], depth: int = 0) -> Iterator[str]:
-    """Write the lines of a block in the order of its settings' descriptions."""
+def _format_block(settings: tuple[Setting, ...], values: Mapping[str, Any], depth: int = 0) -> Iterator[str]:
+    """Yield the lines of a block in the order of its settings' definitions."""
     indent = INDENT * depth
     for setting in settings:
         value = values.get(setting.name)
         if value is None:
             continue
-        for one in value if setting.repeatable else [value]:
-            line = indent + _write_setting(setting, one)
-            inner = list(_write_block(setting.block, one, depth + 1)) if setting.block else []
-            if inner:
+        for item in value if setting.repeatable else [value]:
+            line = indent + _format_setting(setting, item)
+            block_lines = list(_format_block(setting.block, item, depth + 1)) if setting.block else []
+            if block_lines:
                 yield f"{line} {{"
-                yield from inner
+                yield from block_lines
                 yield f"{indent}}}"
             else:
                 yield line
 
 
-def _write_setting(setting: Setting, value: Any) -> str:
+def _format_setting(setting: Setting, value: Any) -> str:
     parts = [setting.name]
     for argument in setting.arguments:
-        one = value if setting.has_single_value else value.get(argument.name)
-        if one is None:
+        item = value if setting.has_single_value else value.get(argument.name)
+        if item is None:
             continue
         if argument.keyword:
             parts.append(argument.keyword)
-        parts.append(_write_argument(argument, one))
+        parts.append(_format_argument(argument, item))
     return " ".join(parts)
 
 
-def _write_argument(argument: Argument, value: Any) -> str:
+def _format_argument(argument: Argument, value: Any) -> str:
     if argument.variadic:
-        return " ".join(_write_value(argument.kind, one) for one in value)
-    return _write_value(argument.kind, value)
+        return " ".join(_format_value(argument.kind, item) for item in value)
+    return _format_value(argument.kind, value)
 
 
-def _write_value(kind: str, value: Any) -> str:
+def _format_value(kind: str, value: Any) -> str:
     if kind == "yes":
         return "yes" if value else "no"
     if kind in ("time", "share", "number"):
@@ -194,7 +203,7 @@
 
 
 def _quote(text: str) -> str:
-    """Quote a text unless it can stand bare."""
+    """Return a text in quotes if the grammar requires them, otherwise unchanged."""
     is_bare = text and not any(character.isspace() or character in SPECIAL_CHARACTERS for character in text)
     if is_bare:
         return text
--- a/stepsail/settings/model.py
+++ b/stepsail/settings/model.py
@@ -1,4 +1,4 @@
-"""The typed settings of a running instance, whichever front end read them."""
+"""The typed settings of a running instance, independent of the form from which they were read."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from stepsail.decisions.interface import RouterSettings
 
 Address = tuple[str, int]  # host, port
-MAX_ZONE_NAME_LENGTH = 64  # characters that membership messages have room for
+MAX_ZONE_NAME_LENGTH = 64  # characters; membership messages have no room for longer names
 
 
 def address_of(text: str) -> Address:
-    """Split HOST:PORT, which was checked before."""
+    """Return the host and the port of a valid HOST:PORT text."""
     host, port = text.rsplit(":", 1)
     return host, int(port)
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The requests of a class.
+    """Assigns requests with a method and a path prefix to a request class.
 
     Attributes:
-        method: Their method.
-        path: What their path begins with.
+        method: HTTP method of the requests.
+        path: Prefix of the requests' paths.
         class_index: Index of the request class.
     """
 
@@ -37,13 +37,13 @@
     """How an instance takes part in the fleet's membership.
 
     Attributes:
-        listen_address: Where it receives messages.
-        advertised_address: Where the others reach it.
-        seeds: Where some of the others may be found.
-        probe_period: Seconds between two probes; 0 for the usual period.
-        cluster_name: Name of the fleet; messages of others are ignored.
-        used_by_router: Whether the router goes by who is there.
-        carries_gossip: Whether outcomes of attempts go to the members as well.
+        listen_address: Address on which the instance receives messages.
+        advertised_address: Address at which the other instances reach it.
+        seeds: Addresses of some other instances, for joining the membership.
+        probe_period: Seconds between two probes; 0: the default period.
+        cluster_name: Name of the fleet; messages of other fleets are ignored.
+        used_by_router: Whether the router uses the current members, not the configured number of instances.
+        carries_gossip: Whether outcomes of attempts are also gossiped to the members.
     """
 
     listen_address: Address
@@ -57,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicySettings:
-    """How changes of policy are agreed on.
+    """How instances agree on policy changes.
 
     Attributes:
-        voters: The addresses of the instances that vote on changes, by their number.
-        folder: Where this instance keeps its log; None if it is no voter.
+        voters: Addresses of the instances that vote on changes, by instance number.
+        folder: Folder of this instance's log of changes; None if it is not a voter.
     """
 
     voters: dict[int, Address]
@@ -73,54 +73,57 @@
     """All settings of one instance. Times are in seconds, sizes in bytes.
 
     Attributes:
-        router: What the router decides by.
+        router: Settings of the router.
         class_names: Names of the request classes, in the router's order.
         zones: Names of the zones, in the router's order.
         tenant_names: Names of the tenants, in the router's order.
-        routes: Which requests belong to which class.
-        listen: Where clients connect.
-        release_control_address: Where release control is called.
-        discovery_address: Where endpoint discovery is called.
-        endpoint_cache_file: Where the endpoint list is cached across a restart; None: nowhere.
-        gossip_address: Where peers' gossip is received; None: there is none.
-        peer_addresses: Where gossip is sent, by the peers' numbers.
-        seed: Seed of random choices; None: drawn at the start.
-        max_connections_per_server: Connections to one server.
-        connect_timeout: Time for making a connection.
+        routes: Routes that assign requests to request classes.
+        listen: Address on which clients connect.
+        release_control_address: Address of release control.
+        discovery_address: Address of endpoint discovery.
+        endpoint_cache_file: File that caches the endpoint list across a restart; None: no cache.
+        gossip_address: Address on which gossip from peers is received; None: no such address.
+        peer_addresses: Addresses to which gossip is sent, by the peers' instance numbers.
+        seed: Seed of random choices; None: drawn at each start.
+        max_connections_per_server: Maximum number of connections to one server.
+        connect_timeout: Longest time for establishing a connection to a server.
         answer_slack: Time before the client's deadline by which the router has to answer.
-        max_client_connections: Clients' connections at once.
-        max_in_flight: Requests in flight at once.
-        max_head_bytes: Size of a message's head.
-        max_body_bytes: Size of a message's body.
-        max_buffered_bytes: Size up to which a body is buffered whole; larger ones are streamed.
-        client_idle_timeout: Time after which an idle client's connection is closed.
-        client_read_timeout: Time from a request's first byte to its last.
-        tenant_header: Header with a tenant's name.
-        key_header: Header with a request's key.
-        key_secret: What keys are hashed with; empty: drawn at the start.
-        shutdown_timeout: Time for answering what is in flight after a stop signal.
+        max_client_connections: Maximum number of client connections at a time.
+        max_in_flight: Maximum number of requests in flight at a time.
+        max_head_bytes: Maximum size of a message's head.
+        max_body_bytes: Maximum size of a message's body.
+        max_buffered_bytes: Size up to which a body is buffered as a whole; larger bodies are streamed.
+        client_idle_timeout: Time after which an idle client connection is closed.
+        client_read_timeout: Longest time from a request's first byte to its last.
+        tenant_header: Name of the request header with the tenant's name.
+        key_header: Name of the request header with the sticky key.
+        key_secret: Secret with which keys are hashed; empty: drawn at each start.
+        shutdown_timeout: Longest time for answering the requests in flight after a stop signal.
         log_format: "json" or "console".
-        log_level: Least level of a line.
-        trail_folder: Where the audit trail is written; None: there is none.
+        log_level: Minimum level of the lines that are logged.
+        trail_folder: Folder of the audit trail; None: no trail is written.
         trail_durability: What a record survives: "process-crash", "power-loss", "power-loss-each".
-        trail_full_policy: What to do while the trail cannot be written: "deny" requests, or "go-on".
-        trail_commit_interval: Time that writing a record may take.
+        trail_full_policy: While the trail cannot be written, "deny" rejects requests and "go-on" serves them.
+        trail_commit_interval: Longest time that writing a record may take.
         trail_segment_bytes: Size of one file of the trail.
-        trail_reserve_bytes: Size kept back for when the disk is full.
+        trail_reserve_bytes: Disk space that is reserved for use when the disk is full.
         trail_max_age: Age at which sealed files are removed; 0: never.
-        trail_max_bytes: Size of all files beyond which the oldest are removed; 0: never.
-        capture_folder: Where captures are written; None: there are none.
-        capture_max_bytes: Size of all segments together.
-        capture_segment_bytes: Size of one segment, about.
+        trail_max_bytes: Total size of the files above which the oldest are removed; 0: never.
+        capture_folder: Folder of the captures; None: no captures are written.
+        capture_max_bytes: Maximum total size of the segments.
+        capture_segment_bytes: Approximate size of one segment.
         capture_max_age: Age at which segments are removed.
-        membership: How the instance takes part in the fleet's membership; None: not at all.
-        policy: How changes of policy are agreed on; None: there are none.
-        max_server_connections: Connections to all servers together; 0: each server's own bound alone.
-        connection_rest: Time before a server's connection is used again.
-        idle_connection_ttl: Time for which a server's idle connection is used; 0: the router's idle timeout.
-        first_request_timeout: Time from a client's connecting to its first request; 0: as for any other.
-        unwatched_list_ttl: Time for which an endpoint list without a watch is used; 0: no bound of its own.
-        evictable_idle_time: Time after which an idle client makes room for a new one; 0: never.
+        membership: How the instance takes part in the fleet's membership; None: it doesn't.
+        policy: How instances agree on policy changes; None: there are no policy changes.
+        max_server_connections: Maximum number of connections to all servers; 0: only the limit per server.
+        connection_reuse_delay: Time for which a connection to a server must be idle before it is reused.
+        idle_connection_ttl: Idle time after which a connection to a server is not reused; 0: the router's
+            idle timeout.
+        first_request_timeout: Longest time from a client's connecting to its first request; 0: the limit for
+            any other request.
+        unwatched_list_ttl: Time for which an endpoint list without a watch is used; 0: no separate limit.
+        evictable_idle_time: Idle time after which a client connection may be closed to make room for a new
+            one; 0: never.
     """
 
     router: RouterSettings
@@ -166,7 +169,7 @@
     membership: MembershipSettings | None = None
     policy: PolicySettings | None = None
     max_server_connections: int = 0
-    connection_rest: float = 0.0
+    connection_reuse_delay: float = 0.0
     idle_connection_ttl: float = 0.0
     first_request_timeout: float = 0.0
     unwatched_list_ttl: float = 0.0
--- a/stepsail/settings/reader.py
+++ b/stepsail/settings/reader.py
@@ -1,4 +1,4 @@
-"""Reads settings files into one checked tree; all errors of a file are found in one go, each with its place."""
+"""Reads settings files into one checked tree; reports all errors at once, each with its location."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from stepsail.settings.argument_reader import ArgumentReader
 from stepsail.settings.errors import (
     InvalidSettings,
-    Place,
     SettingsSyntaxError,
+    SourceLocation,
 )
 from stepsail.settings.grammar import Line, parse_line
 from stepsail.settings.schema import Setting, block_schema
@@ -28,16 +28,16 @@
 
 @dataclass
 class _Block:
-    """A block that is being read; in one that is not `known`, lines are skipped."""
+    """A block that is being read; if `is_known` is false, its lines are skipped."""
 
     settings: dict[str, Setting]
     values: dict[str, Any]
     path: TreePath
-    known: bool = True
+    is_known: bool = True
 
 
 class SettingsReader:
-    """Reads one file, and those that it includes, by the descriptions of its settings."""
+    """Reads one file, and the files that it includes, according to the definitions of its settings."""
 
     def __init__(self, settings: tuple[Setting, ...]) -> None:
         self.settings = settings
@@ -47,10 +47,10 @@
         """Read a file.
 
         Raises:
-            InvalidSettings: It has errors.
+            InvalidSettings: The file has errors.
         """
-        start = Place(str(file), 1)
-        self.tree.places[()] = start
+        start = SourceLocation(str(file), 1)
+        self.tree.locations[()] = start
         top = _Block(_by_name(self.settings), self.tree.values, ())
         self._read_file(file, top, start, [])
         if not self.tree.errors:
@@ -59,82 +59,94 @@
             raise InvalidSettings(self.tree.errors)
         return self.tree
 
-    def _read_file(self, file: Path, top: _Block, included_at: Place, including: list[Path]) -> None:
-        text = self._load_text(file, included_at, including)
+    def _read_file(
+        self, file: Path, enclosing_block: _Block, include_location: SourceLocation, include_stack: list[Path]
+    ) -> None:
+        text = self._load_text(file, include_location, include_stack)
         if text is None:
             return
-        open_blocks = [top]
-        opened_at: list[Place] = []
-        for number, raw in enumerate(text.split("\n"), 1):
-            line = self._parse_line(raw, file, number)
+        open_blocks = [enclosing_block]
+        block_locations: list[SourceLocation] = []
+        for line_number, line_text in enumerate(text.split("\n"), 1):
+            line = self._parse_line(line_text, file, line_number)
             if line is None:
                 continue
-            place = Place(str(file), number, line.column)
+            location = SourceLocation(str(file), line_number, line.column)
             if line.closes:
-                self._close_block(open_blocks, opened_at, place)
-            elif line.word == INCLUDE and len(line.values) == 1 and not line.opens:
+                self._close_block(open_blocks, block_locations, location)
+            elif line.name == INCLUDE and len(line.values) == 1 and not line.opens:
                 included = file.parent / line.values[0].text
-                self._read_file(included, open_blocks[-1], place, [*including, file.resolve()])
-            elif line.word:
-                self._read_setting(line, place, open_blocks, opened_at)
-        for place in opened_at:
-            self.tree.add_error(place, "this block is never closed; add '}'")
-
-    def _load_text(self, file: Path, included_at: Place, including: list[Path]) -> str | None:
-        """Return a file's text; None if it cannot be had, which is recorded."""
-        if file.resolve() in including or len(including) >= MAX_INCLUDE_DEPTH:
-            message = f"{file} includes itself, or files nest over {MAX_INCLUDE_DEPTH} deep"
-            self.tree.add_error(included_at, message)
+                self._read_file(included, open_blocks[-1], location, [*include_stack, file.resolve()])
+            elif line.name:
+                self._read_setting(line, location, open_blocks, block_locations)
+        for location in block_locations:
+            self.tree.add_error(location, "this block is never closed; add '}'")
+
+    def _load_text(
+        self, file: Path, include_location: SourceLocation, include_stack: list[Path]
+    ) -> str | None:
+        """Return a file's text; if it cannot be read, add an error and return None."""
+        if file.resolve() in include_stack or len(include_stack) >= MAX_INCLUDE_DEPTH:
+            message = f"{file} includes itself, or includes are nested more than {MAX_INCLUDE_DEPTH} deep"
+            self.tree.add_error(include_location, message)
             return None
         try:
             if file.stat().st_size > MAX_FILE_BYTES:
-                self.tree.add_error(included_at, f"{file} is over {MAX_FILE_BYTES} bytes")
+                self.tree.add_error(include_location, f"{file} is larger than {MAX_FILE_BYTES} bytes")
                 return None
             return file.read_text("utf-8")
         except UnicodeDecodeError as error:
             line = file.read_bytes()[: error.start].count(b"\n") + 1
-            self.tree.add_error(Place(str(file), line), "not UTF-8; write the file in UTF-8")
+            self.tree.add_error(SourceLocation(str(file), line), "not UTF-8; write the file in UTF-8")
         except OSError as error:
-            self.tree.add_error(included_at, f"cannot read {file}: {error.strerror}")
+            self.tree.add_error(include_location, f"cannot read {file}: {error.strerror}")
         return None
 
-    def _parse_line(self, raw: str, file: Path, number: int) -> Line | None:
+    def _parse_line(self, line_text: str, file: Path, line_number: int) -> Line | None:
         try:
-            return parse_line(raw.rstrip("\r"))
+            return parse_line(line_text.rstrip("\r"))
         except SettingsSyntaxError as error:
-            self.tree.add_error(Place(str(file), number, error.column), f"expected {error.expected}")
+            self.tree.add_error(
+                SourceLocation(str(file), line_number, error.column), f"expected {error.expected}"
+            )
             return None
 
-    def _close_block(self, open_blocks: list[_Block], opened_at: list[Place], place: Place) -> None:
+    def _close_block(
+        self, open_blocks: list[_Block], block_locations: list[SourceLocation], location: SourceLocation
+    ) -> None:
         if len(open_blocks) == 1:
-            self.tree.add_error(place, "'}' closes nothing; remove it")
+            self.tree.add_error(location, "'}' closes nothing; remove it")
         else:
             open_blocks.pop()
-            opened_at.pop()
+            block_locations.pop()
 
     def _read_setting(
-        self, line: Line, place: Place, open_blocks: list[_Block], opened_at: list[Place]
+        self,
+        line: Line,
+        location: SourceLocation,
+        open_blocks: list[_Block],
+        block_locations: list[SourceLocation],
     ) -> None:
-        """Put a setting into the innermost block, and enter the block that it opens."""
+        """Add a setting to the innermost open block, and enter the block that the setting opens."""
         block = open_blocks[-1]
-        inner = self._add_value(line, place, block)
-        setting = block.settings.get(line.word)
+        opened_block = self._add_value(line, location, block)
+        setting = block.settings.get(line.name)
         if line.opens and (setting is None or setting.block):
-            open_blocks.append(inner or _Block({}, {}, block.path, known=False))
-            opened_at.append(place)
+            open_blocks.append(opened_block or _Block({}, {}, block.path, is_known=False))
+            block_locations.append(location)
 
-    def _add_value(self, line: Line, place: Place, block: _Block) -> _Block | None:
-        """Put a setting's value into its block; return the block that it opens, if any."""
-        if not block.known:
+    def _add_value(self, line: Line, location: SourceLocation, block: _Block) -> _Block | None:
+        """Add a setting's value to its block; return the block that the setting opens, if any."""
+        if not block.is_known:
             return None
-        setting = self._allowed_setting(line, place, block)
+        setting = self._allowed_setting(line, location, block)
         if setting is None:
             return None
         path: TreePath = (*block.path, setting.name)
         if setting.repeatable:
             path = (*path, len(block.values.get(setting.name, [])))
-        self.tree.places[path] = place
-        value = ArgumentReader(self.tree, setting, line.values, place, path).read()
+        self.tree.locations[path] = location
+        value = ArgumentReader(self.tree, setting, line.values, location, path).read()
         if value is None:
             return None
         if setting.repeatable:
@@ -143,39 +155,39 @@
             block.values[setting.name] = value
         return _Block(_by_name(setting.block), value, path) if setting.block and line.opens else None
 
-    def _allowed_setting(self, line: Line, place: Place, block: _Block) -> Setting | None:
-        """Return the setting that a line gives; None if it is not allowed here, which is recorded."""
-        setting = block.settings.get(line.word)
+    def _allowed_setting(self, line: Line, location: SourceLocation, block: _Block) -> Setting | None:
+        """Return the setting that a line names; if it is not allowed here, add an error and return None."""
+        setting = block.settings.get(line.name)
         if setting is None:
-            message = f"unknown word '{line.word}'; {_suggest(line.word, block.settings)}"
+            message = f"unknown setting '{line.name}'; {_suggest(line.name, block.settings)}"
         elif line.opens and not setting.block:
             message = f"'{setting.name}' takes no block; remove '{{'"
         elif not setting.repeatable and block.values.get(setting.name) is not None:
-            first = self.tree.place_of(*block.path, setting.name)
-            message = f"'{setting.name}' stands twice; it stands already at {first}"
+            first_location = self.tree.location_of(*block.path, setting.name)
+            message = f"'{setting.name}' is given twice; first at {first_location}"
         else:
             return setting
-        self.tree.add_error(place, message)
+        self.tree.add_error(location, message)
         return None
 
     def _check_schema(self) -> None:
-        """Check bounds, choices and what is missing."""
+        """Check required settings, bounds and allowed values against the JSON schema."""
         for error in Draft202012Validator(block_schema(self.settings)).iter_errors(self.tree.values):
-            self.tree.add_error(self.tree.place_of(*error.absolute_path), _describe(error))
+            self.tree.add_error(self.tree.location_of(*error.absolute_path), _describe_schema_error(error))
 
 
 def _by_name(settings: tuple[Setting, ...]) -> dict[str, Setting]:
     return {setting.name: setting for setting in settings}
 
 
-def _suggest(word: str, known_words: Iterable[str]) -> str:
-    known = sorted(known_words)
-    close = difflib.get_close_matches(word, known, 1)
-    return f"did you mean '{close[0]}'?" if close else f"known here: {', '.join(known)}"
+def _suggest(word: str, allowed_words: Iterable[str]) -> str:
+    allowed = sorted(allowed_words)
+    matches = difflib.get_close_matches(word, allowed, 1)
+    return f"did you mean '{matches[0]}'?" if matches else f"allowed here: {', '.join(allowed)}"
 
 
-def _describe(error: ValidationError) -> str:
-    """Put an error of the JSON schema in the words of a settings file."""
+def _describe_schema_error(error: ValidationError) -> str:
+    """Return a message for an error of JSON Schema validation, in terms of the settings file."""
     value: Any = error.instance
     bound: Any = error.validator_value
     match str(error.validator):
--- a/stepsail/settings/schema.py
+++ b/stepsail/settings/schema.py
@@ -1,7 +1,8 @@
-"""How settings are described: their arguments, bounds, meanings and defaults.
+"""Classes that define settings: their arguments, bounds, descriptions and defaults.
 
-The reader, the checks, the reference page and the migration all go by these descriptions. The words of settings files
-are part of the interface to operators and never change; `Setting.field` is what the code calls each of them.
+The reader, the checks, the reference page and the migration are all driven by these definitions. The names
+in settings files are part of the interface to operators and never change; `Setting.field` is the name of a
+setting in the code.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 
 from stepsail.settings.values import VALUE_KINDS
 
-TIME: dict[str, Any] = {"exclusiveMinimum": 0, "maximum": 86400}  # s
-AGE: dict[str, Any] = {"minimum": 0, "maximum": 100 * 366 * 86400}  # s
-SHARE: dict[str, Any] = {"minimum": 0, "maximum": 1}
+TIME_BOUNDS: dict[str, Any] = {"exclusiveMinimum": 0, "maximum": 86400}  # s
+AGE_BOUNDS: dict[str, Any] = {"minimum": 0, "maximum": 100 * 366 * 86400}  # s
+SHARE_BOUNDS: dict[str, Any] = {"minimum": 0, "maximum": 1}
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,12 +23,12 @@
     """One value of a setting.
 
     Attributes:
-        name: What the value is called in messages, and in the tree where a setting has several.
+        name: Name of the value in messages, and its key in the tree if the setting has several values.
         kind: A key of VALUE_KINDS.
-        bounds: Keywords of JSON Schema that the value has to satisfy.
-        keyword: Word that stands before the value, if any.
-        optional: Whether it may be left out.
-        variadic: Whether it takes all values that follow, one or more.
+        bounds: JSON Schema keywords that the value has to satisfy.
+        keyword: Literal word before the value; empty if there is none.
+        optional: Whether the value may be omitted.
+        variadic: Whether the argument takes all remaining values of the line, one or more.
     """
 
     name: str
@@ -40,32 +41,32 @@
     def json_schema(self) -> dict[str, Any]:
         """Return the JSON schema of the parsed value."""
         kind = VALUE_KINDS[self.kind]
-        one = {"type": kind.json_type, **self.bounds}
+        schema = {"type": kind.json_type, **self.bounds}
         if kind.is_range:
-            return {"type": "array", "items": one, "minItems": 2, "maxItems": 2}
-        return {"type": "array", "items": one, "minItems": 1} if self.variadic else one
+            return {"type": "array", "items": schema, "minItems": 2, "maxItems": 2}
+        return {"type": "array", "items": schema, "minItems": 1} if self.variadic else schema
 
 
 def argument(
     name: str, kind: str, keyword: str = "", optional: bool = False, variadic: bool = False, **bounds: Any
 ) -> Argument:
-    """Describe an argument, with its bounds as keywords."""
+    """Create an argument; `bounds` are JSON Schema keywords."""
     return Argument(name, kind, bounds, keyword, optional, variadic)
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One word of a settings file.
+    """Definition of one setting of a settings file.
 
     Attributes:
-        name: The word.
-        description: What it means, for the reference page.
-        arguments: The values that follow the word.
-        block: The settings that may stand in the block that it opens; none if it opens no block.
-        repeatable: Whether it may stand more than once.
-        required: Whether it has to stand.
-        default: Its value where it is absent.
-        field: Its name in the code, where that is not the word itself.
+        name: Name in the settings file, the first word of a line.
+        description: Meaning of the setting, for the reference page.
+        arguments: The values after the name.
+        block: The settings allowed in the block that the setting opens; empty if it opens no block.
+        repeatable: Whether the setting may be given more than once.
+        required: Whether the setting has to be given.
+        default: Value if the setting is absent.
+        field: Name in the code; empty if it is the same as `name`.
     """
 
     name: str
@@ -79,20 +80,20 @@
 
     @property
     def has_single_value(self) -> bool:
-        """Whether its value is that of its one argument, in place of a mapping by the arguments' names."""
+        """Whether the value is that of the only argument, not a mapping from argument names to values."""
         return not self.block and len(self.arguments) == 1
 
     def json_schema(self) -> dict[str, Any]:
-        """Return the JSON schema of its value in the tree."""
+        """Return the JSON schema of the setting's value in the tree."""
         if self.has_single_value:
-            one = self.arguments[0].json_schema()
+            schema = self.arguments[0].json_schema()
         else:
-            one = block_schema(self.block)
-            one["properties"].update({a.name: a.json_schema() for a in self.arguments})
-            one["required"] += [a.name for a in self.arguments if not a.optional]
+            schema = block_schema(self.block)
+            schema["properties"].update({a.name: a.json_schema() for a in self.arguments})
+            schema["required"] += [a.name for a in self.arguments if not a.optional]
         if self.repeatable:
-            return {"type": "array", "items": one, "minItems": 1 if self.required else 0}
-        return one
+            return {"type": "array", "items": schema, "minItems": 1 if self.required else 0}
+        return schema
 
 
 def block_schema(settings: tuple[Setting, ...]) -> dict[str, Any]:
@@ -106,12 +107,16 @@
 
 
 def with_defaults(settings: tuple[Setting, ...], values: Mapping[str, Any]) -> dict[str, Any]:
-    """Return a block's values by the names of their fields, with the defaults of those that are absent."""
+    """Return a block's values by `Setting.field`, with the defaults of absent settings."""
     return {setting.field or setting.name: values.get(setting.name, setting.default) for setting in settings}
 
 
 def find_setting(settings: tuple[Setting, ...], name: str) -> Setting:
-    """Return the setting with a name; KeyError if there is none."""
+    """Return the setting with the given name.
+
+    Raises:
+        KeyError: There is none.
+    """
     for setting in settings:
         if setting.name == name:
             return setting
--- a/stepsail/settings/tenants.py
+++ b/stepsail/settings/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants by name."""
+"""Lookup of tenants by name."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class TenantTable:
-    """The tenants of the settings, which the router knows by their index.
+    """Maps the names of the configured tenants to the indexes that the router uses.
 
     Attributes:
-        unknown: The index of whoever is none of them.
+        unknown_index: Index used for all tenants that are not configured.
     """
 
     def __init__(self, names: Sequence[str]) -> None:
         self.indexes = {name.encode(): index for index, name in enumerate(names)}
-        self.unknown = len(names)
+        self.unknown_index = len(names)
 
     def index(self, name: bytes) -> int:
-        """Return the index of the tenant with this name, or `unknown`."""
-        return self.indexes.get(name, self.unknown)
+        """Return the index of the tenant with this name, or `unknown_index` if there is none."""
+        return self.indexes.get(name, self.unknown_index)
--- a/stepsail/settings/tree.py
+++ b/stepsail/settings/tree.py
@@ -1,38 +1,38 @@
-"""The values of a settings file, with the place of each and the errors found so far."""
+"""The values read from a settings file, with the location of each value and the errors found so far."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any
 
-from stepsail.settings.errors import Place, SettingsError
+from stepsail.settings.errors import SettingsError, SourceLocation
 
-MAX_ERRORS = 50  # that are told of one file
+MAX_ERRORS = 50  # reported per file
 
-TreePath = tuple[str | int, ...]  # names of settings, and indexes of repeatable ones
+TreePath = tuple[str | int, ...]  # names of settings and arguments, and indexes of repeated settings
 
 
 @dataclass
 class SettingsTree:
-    """The values of a file by the names of its settings.
+    """The values of a settings file by the names of the settings.
 
     Attributes:
-        values: The values; nested mappings for blocks, lists for repeatable settings.
-        places: Where each value stands, by its path.
-        errors: What is wrong, MAX_ERRORS at most.
+        values: The values: nested mappings for blocks, lists for repeatable settings.
+        locations: Location of each value in its file, by path.
+        errors: Errors found so far, at most MAX_ERRORS.
     """
 
     values: dict[str, Any] = field(default_factory=dict)
-    places: dict[TreePath, Place] = field(default_factory=dict)
+    locations: dict[TreePath, SourceLocation] = field(default_factory=dict)
     errors: list[SettingsError] = field(default_factory=list)
 
-    def add_error(self, place: Place, message: str) -> None:
-        """Record an error."""
+    def add_error(self, location: SourceLocation, message: str) -> None:
+        """Add an error, unless there are MAX_ERRORS already."""
         if len(self.errors) < MAX_ERRORS:
-            self.errors.append(SettingsError(place, message))
+            self.errors.append(SettingsError(location, message))
 
-    def place_of(self, *path: str | int) -> Place:
-        """Return the place of a path, or of the nearest value around it."""
-        while path and path not in self.places:
+    def location_of(self, *path: str | int) -> SourceLocation:
+        """Return the location of the value at a path, or else of the innermost enclosing value."""
+        while path and path not in self.locations:
             path = path[:-1]
-        return self.places.get(path, Place("settings", 1))
+        return self.locations.get(path, SourceLocation("settings", 1))
--- a/stepsail/standins/day.py
+++ b/stepsail/standins/day.py
@@ -10,7 +10,7 @@
 from stepsail.loop.skew import Skew
 from stepsail.settings.errors import InvalidSettings
 from stepsail.settings.reader import SettingsReader
-from stepsail.settings.schema import SHARE, TIME, Setting, argument
+from stepsail.settings.schema import SHARE_BOUNDS, TIME_BOUNDS, Setting, argument
 from stepsail.standins.builds import KINDS, Build
 from stepsail.standins.clients import ClientBehavior
 from stepsail.standins.server_group import ServerShape
@@ -88,17 +88,26 @@
     Setting(
         "fall-for",
         "A cold box that is sent too much for this time falls over.",
-        (argument("time", "time", **TIME),),
+        (argument("time", "time", **TIME_BOUNDS),),
         default=1.5,
     ),
     Setting(
-        "report-every", "Age that a load report may have.", (argument("time", "time", **TIME),), default=0.3
+        "report-every",
+        "Age that a load report may have.",
+        (argument("time", "time", **TIME_BOUNDS),),
+        default=0.3,
     ),
     Setting(
-        "boot", "Time that a new process takes to run.", (argument("time", "time", **TIME),), default=1.5
+        "boot",
+        "Time that a new process takes to run.",
+        (argument("time", "time", **TIME_BOUNDS),),
+        default=1.5,
     ),
     Setting(
-        "drain-for", "Time that a drained box still runs.", (argument("time", "time", **TIME),), default=2.0
+        "drain-for",
+        "Time that a drained box still runs.",
+        (argument("time", "time", **TIME_BOUNDS),),
+        default=2.0,
     ),
 )
 
@@ -110,7 +119,10 @@
         required=True,
     ),
     Setting(
-        "length", "Time during which clients arrive.", (argument("time", "time", **TIME),), required=True
+        "length",
+        "Time during which clients arrive.",
+        (argument("time", "time", **TIME_BOUNDS),),
+        required=True,
     ),
     Setting("seed", "Seed of the day's chance.", (argument("number", "whole"),), default=1),
     Setting(
@@ -125,8 +137,8 @@
         "A product's share of the traffic and its mean work on one core.",
         (
             argument("product", "text"),
-            argument("share", "share", keyword="share", **SHARE),
-            argument("work", "time", keyword="work", **TIME),
+            argument("share", "share", keyword="share", **SHARE_BOUNDS),
+            argument("work", "time", keyword="work", **TIME_BOUNDS),
         ),
         repeatable=True,
         required=True,
@@ -140,14 +152,27 @@
         (argument("count", "wholes", maximum=MOST_DRAWN),),
     ),
     Setting(
-        "roster-late", "Time from a change to its listing.", (argument("time", "time", **TIME),), default=0.8
+        "roster-late",
+        "Time from a change to its listing.",
+        (argument("time", "time", **TIME_BOUNDS),),
+        default=0.8,
+    ),
+    Setting(
+        "news-late",
+        "Time from a change to its news.",
+        (argument("time", "time", **TIME_BOUNDS),),
+        default=0.4,
+    ),
+    Setting(
+        "cross-delay",
+        "Time one way between zones.",
+        (argument("time", "time", **TIME_BOUNDS),),
+        default=0.001,
     ),
-    Setting("news-late", "Time from a change to its news.", (argument("time", "time", **TIME),), default=0.4),
-    Setting("cross-delay", "Time one way between zones.", (argument("time", "time", **TIME),), default=0.001),
     Setting(
         "notice",
         "Time that the front goes on sending to a dead umpire.",
-        (argument("time", "time", **TIME),),
+        (argument("time", "time", **TIME_BOUNDS),),
         default=1.5,
     ),
     Setting(
@@ -157,7 +182,9 @@
         default=False,
     ),
     Setting(
-        "view-period", "Time between an umpire's probes of the others.", (argument("time", "time", **TIME),)
+        "view-period",
+        "Time between an umpire's probes of the others.",
+        (argument("time", "time", **TIME_BOUNDS),),
     ),
     Setting(
         "heeded",
@@ -187,12 +214,12 @@
         "A change of policy is proposed, and given up after so long; so soon after it was accepted a part "
         "of the umpires is cut off from the others for a time.",
         (
-            argument("time", "times", keyword="at", **TIME),
-            argument("patience", "times", keyword="patience", optional=True, **TIME),
-            argument("cut", "shares", keyword="cut", optional=True, **SHARE),
-            argument("soon", "times", keyword="after", optional=True, **TIME),
-            argument("length", "times", keyword="for", optional=True, **TIME),
-            argument("chance", "share", keyword="chance", optional=True, **SHARE),
+            argument("time", "times", keyword="at", **TIME_BOUNDS),
+            argument("patience", "times", keyword="patience", optional=True, **TIME_BOUNDS),
+            argument("cut", "shares", keyword="cut", optional=True, **SHARE_BOUNDS),
+            argument("soon", "times", keyword="after", optional=True, **TIME_BOUNDS),
+            argument("length", "times", keyword="for", optional=True, **TIME_BOUNDS),
+            argument("chance", "share", keyword="chance", optional=True, **SHARE_BOUNDS),
         ),
         repeatable=True,
     ),
@@ -203,10 +230,10 @@
         (
             argument("of", "whole"),
             argument("rate", "numbers", keyword="rate", optional=True, minimum=0.5, maximum=2),
-            argument("ahead", "times", keyword="ahead", optional=True, **TIME),
-            argument("back", "times", keyword="back", optional=True, **TIME),
-            argument("time", "times", keyword="at", optional=True, **TIME),
-            argument("chance", "share", keyword="chance", optional=True, **SHARE),
+            argument("ahead", "times", keyword="ahead", optional=True, **TIME_BOUNDS),
+            argument("back", "times", keyword="back", optional=True, **TIME_BOUNDS),
+            argument("time", "times", keyword="at", optional=True, **TIME_BOUNDS),
+            argument("chance", "share", keyword="chance", optional=True, **SHARE_BOUNDS),
         ),
         repeatable=True,
     ),
@@ -221,12 +248,12 @@
         "offer",
         "A build is offered: what it does, how much, to which product, its speed.",
         (
-            argument("time", "times", keyword="at", **TIME),
+            argument("time", "times", keyword="at", **TIME_BOUNDS),
             argument("kind", "text", enum=list(KINDS)),
             argument("size", "numbers", keyword="size", optional=True),
             argument("product", "text", keyword="product", optional=True),
             argument("speed", "numbers", keyword="speed", optional=True, exclusiveMinimum=0),
-            argument("chance", "share", keyword="chance", optional=True, **SHARE),
+            argument("chance", "share", keyword="chance", optional=True, **SHARE_BOUNDS),
         ),
         repeatable=True,
     ),
@@ -235,12 +262,12 @@
         "Something goes wrong.",
         (
             argument("kind", "text", enum=list(TROUBLES)),
-            argument("time", "times", keyword="at", **TIME),
-            argument("length", "times", keyword="for", **TIME),
+            argument("time", "times", keyword="at", **TIME_BOUNDS),
+            argument("length", "times", keyword="for", **TIME_BOUNDS),
             argument("of", "wholes", keyword="of", optional=True),
             argument("size", "numbers", keyword="size", optional=True),
-            argument("part", "shares", keyword="part", optional=True, **SHARE),
-            argument("chance", "share", keyword="chance", optional=True, **SHARE),
+            argument("part", "shares", keyword="part", optional=True, **SHARE_BOUNDS),
+            argument("chance", "share", keyword="chance", optional=True, **SHARE_BOUNDS),
         ),
         repeatable=True,
     ),
@@ -372,11 +399,11 @@
             trouble["kind"].split("-")[-1], 1 << 30
         )
         if trouble.get("of", [0, 0])[1] >= most:
-            tree.add_error(tree.place_of("trouble", at, "of"), f"there are only {most}, numbered from 0")
+            tree.add_error(tree.location_of("trouble", at, "of"), f"there are only {most}, numbered from 0")
     for at, clock in enumerate(top["clock"] or []):
         if clock["of"] >= top["umpires"][0]:
             tree.add_error(
-                tree.place_of("clock", at), f"there are only {top['umpires'][0]} umpires, numbered from 0"
+                tree.location_of("clock", at), f"there are only {top['umpires'][0]} umpires, numbered from 0"
             )
     for at, offer in enumerate(top["offer"] or []):
         if (offer["kind"] == "product") != ("product" in offer) or offer.get("product", "") not in (
@@ -384,15 +411,15 @@
             *demand,
         ):
             tree.add_error(
-                tree.place_of("offer", at), "kind 'product' names a product that is asked for; others none"
+                tree.location_of("offer", at), "kind 'product' names a product that is asked for; others none"
             )
     for at, trouble in enumerate(top["trouble"] or []):
         if trouble["kind"] in WORD_TROUBLES and not top["view"]:
             tree.add_error(
-                tree.place_of("trouble", at), "without 'view yes' umpires say nothing to each other"
+                tree.location_of("trouble", at), "without 'view yes' umpires say nothing to each other"
             )
     if top["keepers"] and (not top["view"] or top["keepers"] > top["umpires"][0] or top["keepers"] == 4):
-        tree.add_error(tree.place_of("keepers"), "three or five of the umpires, who have 'view yes'")
+        tree.add_error(tree.location_of("keepers"), "three or five of the umpires, who have 'view yes'")
     if tree.errors:
         raise InvalidSettings(tree.errors)
     seed = top["seed"] if seed is None else seed
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -10,15 +10,15 @@
 
 from stepsail.platform.configuration import read_configuration
 from stepsail.platform.errors import InvalidConfiguration
-from stepsail.settings.flat_settings import pairs_of_object, pairs_of_text, read_router_settings
+from stepsail.settings.flat_settings import flatten_json, parse_pairs, read_router_settings
 
 
 def test_text_of_the_simulator_and_object_of_the_platform_give_the_same_router_settings(
     tmp_path: Path,
 ) -> None:
-    text = "\n".join(f"{path}={value}" for path, value in pairs_of_object(SETTINGS).items())
+    text = "\n".join(f"{path}={value}" for path, value in flatten_json(SETTINGS).items())
     assert "Lanes.count=2" in text and "Zones=hall-a,hall-b" in text and "Limits.Cancel=true" in text
-    assert configure(tmp_path).settings.router == read_router_settings(pairs_of_text(text))
+    assert configure(tmp_path).settings.router == read_router_settings(parse_pairs(text))
 
 
 def test_connection_limits_follow_from_the_socket_limit(tmp_path: Path) -> None:
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings: what is read, and what is said of what is wrong."""
+"""Loading of settings files: the resulting settings, and the errors that are reported."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 
 from stepsail.settings import InvalidSettings, load_settings
 from stepsail.settings.errors import SettingsSyntaxError
-from stepsail.settings.flat_settings import pairs_of_text, read_router_settings
+from stepsail.settings.flat_settings import parse_pairs, read_router_settings
 from stepsail.settings.grammar import parse_line
 from stepsail.settings.model import MembershipSettings
 
-TOLD = [
+EXPECTED_ERRORS = [
     "umpire.conf:2:10: expected 'of', then its value: umpire NUMBER of COUNT",
-    "umpire.conf:11:5: unknown word 'targte'; did you mean 'target'?",
+    "umpire.conf:11:5: unknown setting 'targte'; did you mean 'target'?",
     "umpire.conf:30:5: 'report' takes no block; remove '{'",
     "umpire.conf:32:14: '4.9' is not a time with its unit, such as 250ms, 1.2s, 5m or 30d",
 ]
 
 
-def written(folder: Path, text: str) -> Path:
+def write_settings_file(folder: Path, text: str) -> Path:
     file = folder / "umpire.conf"
     file.write_text(text, "utf-8")
     return file
 
 
-def faults(folder: Path, text: str) -> list[str]:
+def errors_of(folder: Path, text: str) -> list[str]:
     with pytest.raises(InvalidSettings) as found:
-        load_settings(written(folder, text))
-    return [str(f).removeprefix(f"{folder}/") for f in found.value.errors]
+        load_settings(write_settings_file(folder, text))
+    return [str(error).removeprefix(f"{folder}/") for error in found.value.errors]
 
 
 def test_file_gives_the_same_router_settings_as_flat_settings(tmp_path: Path) -> None:
-    settings = load_settings(written(tmp_path, GOOD))
-    same = read_router_settings(
-        pairs_of_text(
+    settings = load_settings(write_settings_file(tmp_path, GOOD))
+    expected = read_router_settings(
+        parse_pairs(
             "\n".join(
                 (
                     "Lanes.count=2",
@@ -81,7 +81,7 @@
             )
         )
     )
-    assert settings.router == same
+    assert settings.router == expected
     assert settings.endpoint_cache_file == tmp_path / "last-list.json" and settings.class_names == (
         "lookup",
         "record",
@@ -90,34 +90,34 @@
     assert routes == [("GET", "/lookup", 0), ("POST", "/record", 1)]
 
 
-def test_all_errors_are_told_at_once_with_place_and_remedy(tmp_path: Path) -> None:
+def test_all_errors_are_reported_at_once_with_location_and_remedy(tmp_path: Path) -> None:
     text = (
         GOOD.replace("target 750ms", "targte 750ms")
         .replace("cold-for 4.9s", "cold-for 4.9")
         .replace("umpire 1 of 3", "umpire 1 off 3")
         .replace("report answers queue", "report answers {")
     )
-    told = faults(tmp_path, text)
-    assert told == TOLD
+    errors = errors_of(tmp_path, text)
+    assert errors == EXPECTED_ERRORS
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("    stage 5% cap 8.5%", "    stage 5% cap 120%", "23:18: 1.2 is too large; at most 1"),
         ("    repeats redoable", "    repeats redoabel", "did you mean 'redoable'?"),
-        ("zone hall-b", "zone hall-x", "4:6: 'hall-x' is none of the zones hall-a, hall-b"),
-        ("umpire 1 of 3", "umpire 3 of 3", "umpires are numbered from 0 to 2"),
-        ("target 750ms", "target 7s", "11:12: the target time is after the abandon time"),
+        ("zone hall-b", "zone hall-x", "4:6: 'hall-x' is not one of the zones hall-a, hall-b"),
+        ("umpire 1 of 3", "umpire 3 of 3", "instances are numbered from 0 to 2"),
+        ("target 750ms", "target 7s", "11:12: the target time is longer than the abandon time"),
         ("labelled zone 10s", "labelled zone", "write 'labelled all|zone|cell TIME'"),
-        ("route POST /record", "route GET /lookup", "GET /lookup means 'lookup' already"),
-        ("product record", "product lookup", "product 'lookup' stands twice"),
+        ("route POST /record", "route GET /lookup", "GET /lookup already belongs to product 'lookup'"),
+        ("product record", "product lookup", "product 'lookup' is defined twice"),
         ("stage 100% cap 1", "stage 1% cap 1", "a stage is smaller than the one before it"),
         ("stage 100% cap 1", "stage 100% cap 50%", "the cap is under the stage's share"),
         ("guarded-stages 1", "guarded-stages 9", "there are only 2 stages"),
         ("listen 127.0.0.1:8080", "listen 127.0.0.1", "such as 127.0.0.1:8080"),
         ("listen 127.0.0.1:8080", "", "missing: listen"),
-        ("zone hall-b", "zone hall-b\nzone hall-a", "stands already at"),
+        ("zone hall-b", "zone hall-b\nzone hall-a", "'zone' is given twice; first at"),
         ("zone hall-b", 'zone "hall-b', "4:6: expected a closing quote"),
         ("zone hall-b", "zone hall-b extra", "'extra' is one value too many"),
         ("zone hall-b", "include nowhere.conf", "cannot read"),
@@ -126,11 +126,11 @@
         ("zone hall-b", "zone hall\x00-b", "expected printable characters"),
     ],
 )
-def test_error_is_described(tmp_path: Path, old: str, new: str, said: str) -> None:
-    assert any(said in line for line in faults(tmp_path, GOOD.replace(old, new)))
+def test_error_is_described(tmp_path: Path, old: str, new: str, message: str) -> None:
+    assert any(message in line for line in errors_of(tmp_path, GOOD.replace(old, new)))
 
 
-def test_invalid_utf_8_is_told_with_its_line(tmp_path: Path) -> None:
+def test_invalid_utf_8_is_reported_with_its_line(tmp_path: Path) -> None:
     file = tmp_path / "umpire.conf"
     file.write_bytes(b"umpire 1 of 3\nzone \xff\n")
     with pytest.raises(InvalidSettings, match=r"umpire\.conf:2:1: not UTF-8"):
@@ -142,47 +142,51 @@
         "view 127.0.0.1:9300 reached 127.0.0.2:9400 {\n    seed 127.0.0.1:9301\n    period 250ms\n"
         "    fleet north\n}\n"
     )
-    settings = load_settings(written(tmp_path, GOOD + view))
+    settings = load_settings(write_settings_file(tmp_path, GOOD + view))
     assert settings.membership == MembershipSettings(
         ("127.0.0.1", 9300), ("127.0.0.2", 9400), (("127.0.0.1", 9301),), 0.25, "north"
     )
-    assert load_settings(written(tmp_path, GOOD)).membership is None
-    bare = load_settings(written(tmp_path, GOOD + "view 127.0.0.1:9300 {\n}\n")).membership
-    assert bare == MembershipSettings(("127.0.0.1", 9300), ("127.0.0.1", 9300), (), 0.0, "stepsail")
+    assert load_settings(write_settings_file(tmp_path, GOOD)).membership is None
+    default_membership = load_settings(
+        write_settings_file(tmp_path, GOOD + "view 127.0.0.1:9300 {\n}\n")
+    ).membership
+    assert default_membership == MembershipSettings(
+        ("127.0.0.1", 9300), ("127.0.0.1", 9300), (), 0.0, "stepsail"
+    )
     assert any(
-        "at most 64 characters" in t for t in faults(tmp_path, (GOOD + view).replace("hall-b", "h" * 65))
+        "at most 64 characters" in t for t in errors_of(tmp_path, (GOOD + view).replace("hall-b", "h" * 65))
     )
 
 
 def test_included_file_is_read_in_place_and_named_in_its_errors(tmp_path: Path) -> None:
     (tmp_path / "stages.conf").write_text("stage 5% cap 8%\nstage 2% cap 1\n")
     text = GOOD.replace("    stage 5% cap 8.5%\n    stage 100% cap 1\n", "    include stages.conf\n")
-    assert faults(tmp_path, text) == ["stages.conf:2:1: a stage is smaller than the one before it"]
+    assert errors_of(tmp_path, text) == ["stages.conf:2:1: a stage is smaller than the one before it"]
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.text(max_size=60))
 def test_any_line_is_parsed_or_a_syntax_error(text: str) -> None:
-    any_line(text)
+    check_line(text)
 
 
-def any_line(text: str) -> None:
+def check_line(text: str) -> None:
     try:
         line = parse_line(text)
-    except SettingsSyntaxError as trouble:
-        assert trouble.column >= 1 and trouble.expected
+    except SettingsSyntaxError as error:
+        assert error.column >= 1 and error.expected
     else:
-        assert not (line.closes and line.word)
+        assert not (line.closes and line.name)
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.integers(0, len(GOOD.splitlines()) - 1), st.text('{} ab19%."#\n', max_size=12))
 def test_file_with_a_changed_line_gives_settings_or_errors(
-    tmp_path_factory: pytest.TempPathFactory, at: int, text: str
+    tmp_path_factory: pytest.TempPathFactory, line_index: int, text: str
 ) -> None:
     lines = GOOD.splitlines()
-    lines[at] = text
+    lines[line_index] = text
     try:
-        load_settings(written(tmp_path_factory.mktemp("settings"), "\n".join(lines)))
+        load_settings(write_settings_file(tmp_path_factory.mktemp("settings"), "\n".join(lines)))
     except InvalidSettings as found:
         assert found.errors
