--- a/stepsail/adapter/__init__.py
+++ b/stepsail/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The edge between the simulator's wire and the routers: records, instances, timers and ids; it decides nothing."""
+"""The adapter between the simulator's binary protocol and the routers, which make all decisions."""
--- a/stepsail/adapter/__main__.py
+++ b/stepsail/adapter/__main__.py
@@ -1,6 +1,7 @@
-"""Run the router on the simulator's wire, over standard input and output.
+"""Runs routers for the simulator: reads events from standard input, writes commands to standard output.
 
-With STEPSAIL_CAPTURE set to a folder, each instance is captured there; the replies are the same to the byte.
+If the environment variable STEPSAIL_CAPTURE names a folder, a capture of each instance is written there.
+Capturing does not change a byte of the replies.
 """
 
 import atexit
@@ -13,24 +14,24 @@
 from stepsail.decisions.router import Router
 
 
-def captured(folder: Path) -> MakeRouter:
-    """A maker of routers that writes a run for each one that it makes."""
-    # Loaded here, as the simulator starts many processes that capture nothing.
+def recording_router_factory(folder: Path) -> MakeRouter:
+    """Return a router factory that records the events and commands of each router in a capture."""
+    # Imported here to keep the start fast: the simulator starts many processes without a capture.
     from stepsail.capture.recorder import recording
     from stepsail.capture.writer import CaptureWriter, fingerprint
 
-    def report(event: str, **fields: object) -> None:
+    def log_event(event: str, **fields: object) -> None:
         print(event, fields, file=sys.stderr)
 
-    def make(settings: RouterSettings, host: RouterHost, seed: int) -> RouterHandle:
-        writer = CaptureWriter(folder, settings.instance_index, fingerprint(Router), report)
+    def make_recording_router(settings: RouterSettings, host: RouterHost, seed: int) -> RouterHandle:
+        writer = CaptureWriter(folder, settings.instance_index, fingerprint(Router), log_event)
         atexit.register(writer.close)
         return recording(Router, writer)(settings, host, seed)
 
-    return make
+    return make_recording_router
 
 
 if __name__ == "__main__":
     capture_folder = os.environ.get("STEPSAIL_CAPTURE")
-    make_router: MakeRouter = captured(Path(capture_folder)) if capture_folder else Router
+    make_router: MakeRouter = recording_router_factory(Path(capture_folder)) if capture_folder else Router
     sys.exit(serve(make_router, sys.stdin.buffer, sys.stdout.buffer))
--- a/stepsail/adapter/frames.py
+++ b/stepsail/adapter/frames.py
@@ -1,7 +1,8 @@
-"""The simulator's wire: batches of event records in, batches of command records out.
+"""The simulator's binary protocol: it sends batches of event records, and gets batches of command records.
 
-A batch is a header and records without gaps; a record is a code of one byte and fields of a fixed layout, some
-followed by a tail whose length they tell. Times on the wire are in milliseconds. Records are named as on the wire.
+A batch is a header followed by records without padding. A record is a code of one byte, followed by fields of
+a fixed layout. Some records end with a tail of variable length, which a field states. Times in records are in
+milliseconds. Codes and layouts have the names that the records have in the simulator.
 """
 
 from __future__ import annotations
@@ -10,49 +11,49 @@
 from struct import Struct
 from typing import Any, BinaryIO
 
-BATCH_HEADER = Struct("<Id")  # length of the batch with this header, clock
-REPLY_HEADER = Struct("<II")  # number of records, length of the reply with this header
+BATCH_HEADER = Struct("<Id")  # length of the batch including this header, clock
+REPLY_HEADER = Struct("<II")  # number of records, length of the reply including this header
 MILLISECONDS = 1000.0  # in a second
 
 
 class EventCode(IntEnum):
-    """Records that come in."""
-
-    BELL = 16
-    ROLLOUT_STATE = 17
-    POWER_ON = 18
-    NEIGHBOUR_SAYS = 19
-    DISCOVERY = 20
-    WITHDRAWN = 21
-    METRICS = 22
-    COMPLETED = 23
-    CONTESTED = 24
-    CALL = 25
-    REGISTER = 26
-    KILLED = 27
-    STARTED = 28
-    ECHO = 29
+    """Codes of the event records, which the simulator sends."""
+
+    BELL = 16  # a timer is due
+    ROLLOUT_STATE = 17  # the state of the release, or the answer to a vote
+    POWER_ON = 18  # an instance starts
+    NEIGHBOUR_SAYS = 19  # a message from a peer
+    DISCOVERY = 20  # an endpoint list for an instance, or a failed poll for one
+    WITHDRAWN = 21  # a client has disconnected
+    METRICS = 22  # release control's counts of attempts at a build
+    COMPLETED = 23  # an attempt has ended
+    CONTESTED = 24  # a client has disputed an answer
+    CALL = 25  # a request
+    REGISTER = 26  # the entries of an endpoint list
+    KILLED = 27  # an instance was killed
+    STARTED = 28  # the first byte of a streamed answer
+    ECHO = 29  # a health check has finished
 
 
 class CommandCode(IntEnum):
-    """Records that go out."""
-
-    PLACE = 16
-    BUSY = 17
-    GIVE_UP = 18
-    WITHDRAW = 19
-    DEFER = 20
-    SAMPLE = 21
-    LET_GO = 22
-    PUBLISH = 23
-    SAY_LOG = 24
-    BUG = 25
-    KEEP_INFORMED = 26
-    READ_LIST = 27
-    BALLOT = 28
-
-
-# Fields of event records, after the code.
+    """Codes of the command records, which the adapter sends."""
+
+    PLACE = 16  # send an attempt
+    BUSY = 17  # reject a request
+    GIVE_UP = 18  # fail a request
+    WITHDRAW = 19  # cancel an attempt
+    DEFER = 20  # set a timer
+    SAMPLE = 21  # check the health of a server
+    LET_GO = 22  # close idle connections to a server
+    PUBLISH = 23  # send a message to one peer or to all
+    SAY_LOG = 24  # log a decision
+    BUG = 25  # report an exception
+    KEEP_INFORMED = 26  # watch the endpoint list
+    READ_LIST = 27  # poll the endpoint list
+    BALLOT = 28  # cast a vote
+
+
+# Layouts of the fields of event records, without the code.
 POWER_ON = Struct("<HQI")
 REGISTER = Struct("<HI")
 REGISTER_ENTRY = Struct("<6sBHHfBfd")
@@ -68,9 +69,10 @@
 KILLED = Struct("<H")
 WITHDRAWN = Struct("<HQ")
 BELL = Struct("<HQ")
+# The load report at the end of `Echo` and `Completed` records, by its number of columns.
 LOAD_REPORTS = tuple(Struct(f"<{columns}f") for columns in range(256))
 
-# Command records, with the code.
+# Layouts of command records, including the code.
 PLACE = Struct("<BHQ6sd")
 BUSY = Struct("<BHQd")
 GIVE_UP = Struct("<BHQ")
@@ -79,27 +81,27 @@
 SAMPLE = Struct("<BH6s")
 LET_GO = Struct("<BH6s")
 PUBLISH = Struct("<BHHH")
-SAY = Struct("<BHH")
+TEXT_RECORD = Struct("<BHH")  # `SayLog` and `Bug`; the text follows
 KEEP_INFORMED = Struct("<BHB")
 READ_LIST = Struct("<BH")
 BALLOT = Struct("<BHHBB")
-LONGEST_TEXT = 0xFFFF  # bytes
+MAX_TEXT_SIZE = 0xFFFF  # bytes
 
-# Messages between instances, which the simulator passes on as they are: kind, the sender's clock, content.
+# Messages between instances: kind, the sender's clock, content. The simulator forwards them unchanged.
 OUTCOMES_HEADER = Struct("<cd")
-OUTCOME = Struct("<6sHBB")  # server, build, class index, bin index; any number of them after the header
-LONGEST_MESSAGE = 256  # bytes
-OUTCOMES_PER_MESSAGE = (LONGEST_MESSAGE - OUTCOMES_HEADER.size) // OUTCOME.size
-STALLED_CLASSES = Struct("<cd")  # a class index a byte after the header
+OUTCOME = Struct("<6sHBB")  # server, build, class index, bin index; repeated after the header
+MAX_MESSAGE_SIZE = 256  # bytes
+OUTCOMES_PER_MESSAGE = (MAX_MESSAGE_SIZE - OUTCOMES_HEADER.size) // OUTCOME.size
+STALLED_CLASSES_HEADER = Struct("<cd")  # class indices of one byte each follow
 VERDICT = Struct("<cdHBB")  # build, stage, verdict
 
 
 class MalformedBatch(Exception):
-    """Input that does not follow the wire's layout."""
+    """The input does not have the layout of the protocol."""
 
 
 class Batch:
-    """One batch of events: its clock in seconds, and its records, read in order."""
+    """A batch of event records, which are read in order, and its clock in seconds."""
 
     __slots__ = ("body", "clock", "offset")
 
@@ -109,14 +111,14 @@
         self.offset = 0
 
     def next_code(self) -> int | None:
-        """The code of the next record; None at the end."""
+        """Read and return the code of the next record, or None at the end of the batch."""
         if self.offset == len(self.body):
             return None
         self.offset += 1
         return self.body[self.offset - 1]
 
-    def fields(self, layout: Struct) -> tuple[Any, ...]:
-        """The next fields of a record."""
+    def read_fields(self, layout: Struct) -> tuple[Any, ...]:
+        """Read and return the next fields of a record, or raise MalformedBatch if bytes are missing."""
         start = self.offset
         self.offset = start + layout.size
         if self.offset > len(self.body):
@@ -125,8 +127,8 @@
             )
         return layout.unpack_from(self.body, start)
 
-    def tail(self, size: int) -> bytes:
-        """The bytes that follow the fixed fields of a record."""
+    def read_tail(self, size: int) -> bytes:
+        """Read and return the tail of a record, or raise MalformedBatch if bytes are missing."""
         start = self.offset
         self.offset = start + size
         if self.offset > len(self.body):
@@ -137,7 +139,7 @@
 
 
 class Reply:
-    """The reply to one batch: the commands, in order."""
+    """The reply to one batch: the command records, in order."""
 
     __slots__ = ("count", "records")
 
@@ -146,18 +148,18 @@
         self.records = bytearray()
 
     def add(self, layout: Struct, *values: Any, tail: bytes = b"") -> None:
-        """Append a record."""
+        """Append a command record."""
         self.records += layout.pack(*values)
         self.records += tail
         self.count += 1
 
     def encode(self) -> bytes:
-        """The reply as it goes out."""
+        """Return the encoded reply, including its header."""
         return REPLY_HEADER.pack(self.count, REPLY_HEADER.size + len(self.records)) + bytes(self.records)
 
 
 def read_batch(stream: BinaryIO) -> Batch | None:
-    """The next batch, or None at the end of input. Raises MalformedBatch."""
+    """Read and return the next batch, or None at the end of input. Raises MalformedBatch."""
     header = _read(stream, BATCH_HEADER.size)
     if not header:
         return None
--- a/stepsail/cli/__init__.py
+++ b/stepsail/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command `stepsail`."""
+"""The command line of `stepsail`."""
--- a/stepsail/cli/captures.py
+++ b/stepsail/cli/captures.py
@@ -1,4 +1,4 @@
-"""Sub-commands on the files of captures: ls, show, verify, cut."""
+"""Sub-commands for capture files: ls, show, verify, cut."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 from stepsail.store.frames import DamagedFileError
 
 DEFAULT_MAX_LINES = 200
-CLOCK_HELP = "Reading of the instance's clock, in seconds."
+CLOCK_HELP = "Time on the instance's clock, in seconds."
 
-# Spellings of `--kind` before events were named after the router's methods.
+# Names that events had before they were named after the router's methods. `--kind` still accepts them.
 EARLIER_KINDS = {
     "begin": Event.STARTED,
     "meet": Event.SERVER_ADDED,
@@ -54,7 +54,7 @@
 
 
 def read_captures(path: Path) -> CaptureFiles:
-    """The runs of a file or folder; raises CommandFailed where they cannot be read."""
+    """Read the runs in a file or folder; raises CommandFailed if they cannot be read."""
     try:
         return read_runs(path)
     except OSError as error:
@@ -62,22 +62,24 @@
 
 
 def print_damage(damaged: Iterable[DamagedFileError]) -> None:
-    """Print which files are damaged, and where."""
+    """Print the damaged files, and where each is damaged, to standard error."""
     for error in damaged:
         click.echo(str(error), err=True)
 
 
 @click.group()
 def capture() -> None:
-    """Recordings of the events and commands of routers, kept as files."""
+    """Inspect captures, which record the events and commands of routers."""
 
 
 @capture.command()
 @click.argument("path", type=EXISTING_PATH)
 def ls(path: Path) -> None:
-    """List the runs and segments of a folder or file."""
+    """List the runs and segments in a folder or file."""
     captures = read_captures(path)
-    table = Table("run", "instance", "segment", "entries", "from s", "to s", "begins with", "end", "module")
+    table = Table(
+        "run", "instance", "segment", "entries", "from, s", "to, s", "starts with", "state", "module"
+    )
     for run in captures.runs:
         for segment in run.segments:
             table.add_row(*_table_row(run, segment))
@@ -88,9 +90,9 @@
 
 def _table_row(run: Run, segment: Segment) -> list[str]:
     entries = [entry for _, entry in segment.entries()]
-    begins = "snapshot" if segment.state() is not None else "start"
+    first_block = "snapshot" if segment.state() is not None else "start"
     if segment.meta["gap"]:
-        begins += f", after {segment.meta['gap'].get('lost', '?')} dropped"
+        first_block += f", after {segment.meta['gap'].get('lost', '?')} dropped entries"
     return [
         run.name,
         str(run.instance),
@@ -98,13 +100,13 @@
         str(len(entries)),
         f"{entries[0].clock:.3f}" if entries else "",
         f"{entries[-1].clock:.3f}" if entries else "",
-        begins,
-        _end_text(segment),
+        first_block,
+        _state_text(segment),
         segment.meta["module"],
     ]
 
 
-def _end_text(segment: Segment) -> str:
+def _state_text(segment: Segment) -> str:
     if segment.sealed:
         return "closed"
     return "torn" if segment.torn_at is not None else "not closed"
@@ -118,21 +120,23 @@
     "--kind",
     "kinds",
     multiple=True,
-    help="Only events of this kind, such as request_accepted or release_state_received.",
+    help="Print only events of this kind, such as request_accepted or release_state_received.",
+)
+@click.option(
+    "--most", "limit", default=DEFAULT_MAX_LINES, show_default=True, help="Maximum number of lines."
 )
-@click.option("--most", "limit", default=DEFAULT_MAX_LINES, show_default=True, help="Lines at the most.")
 def show(path: Path, start: float | None, until: float | None, kinds: tuple[str, ...], limit: int) -> None:
-    """Print entries: the event, then the commands that it led to."""
+    """Print entries: each event, followed by the commands that the router issued for it."""
     captures = read_captures(path)
-    wanted_kinds = {_current_kind(kind) for kind in kinds}
+    current_kinds = {_current_kind(kind) for kind in kinds}
     printed = 0
     for run in captures.runs:
         for stretch in run.stretches():
             servers = server_addresses(stretch)
             click.echo(f"run {run.name}, instance {run.instance}")
-            for number, entry in _selected(stretch, start, until, wanted_kinds):
+            for number, entry in _select_entries(stretch, start, until, current_kinds):
                 if printed >= limit:
-                    click.echo(f"… more; --most {limit} lines are shown")
+                    click.echo(f"… more entries follow; the output is limited to {limit} lines (--most)")
                     return
                 first, *rest = entry_lines(entry, servers)
                 click.echo("\n".join([f"{number}: {first}", *rest]))
@@ -141,15 +145,15 @@
 
 
 def _current_kind(kind: str) -> str:
-    """The name of an event, also by its earlier spelling."""
+    """Return the current name of an event, which may be given by its earlier name."""
     event = EARLIER_KINDS.get(kind)
     return kind if event is None else event.name.lower()
 
 
-def _selected(
+def _select_entries(
     stretch: list[Segment], start: float | None, until: float | None, kinds: set[str]
 ) -> Iterator[tuple[int, Entry]]:
-    """The entries within a time and of the given kinds, where such are given."""
+    """Yield the entries of consecutive segments that match the times and kinds, as far as these are given."""
     for number, entry in entries_of(stretch, start):
         if start is not None and entry.clock < start:
             continue
@@ -163,7 +167,7 @@
 @capture.command(name="verify")
 @click.argument("path", type=EXISTING_PATH)
 def verify_capture(path: Path) -> None:
-    """Check every byte: a torn tail is reported, damage is an error with its offset."""
+    """Check every byte of a capture; a torn tail is reported, and damage is an error with its offset."""
     captures = read_captures(path)
     damaged = list(captures.damaged)
     for run in captures.runs:
@@ -185,15 +189,15 @@
 @click.argument("out", type=click.Path(path_type=Path))
 @click.option("--from", "start", type=float, required=True, help=CLOCK_HELP)
 @click.option("--until", type=float, required=True, help=CLOCK_HELP)
-@click.option("--run", "name", help="Which run, where there are several.")
+@click.option("--run", "name", help="Name of the run, if there are several.")
 def cut_command(path: Path, out: Path, start: float, until: float, name: str | None) -> None:
-    """Cut a stretch of time into a file of its own that replays by itself."""
+    """Write the entries of a period to a file of their own, which can be replayed by itself."""
     runs = read_captures(path).runs
-    chosen = [run for run in runs if name in (None, run.name)]
-    if len(chosen) != 1:
-        names = ", ".join(run.name for run in runs) or "there are none"
-        raise click.UsageError(f"name one of the runs: {names}")
-    for stretch in chosen[0].stretches():
+    matching_runs = [run for run in runs if name in (None, run.name)]
+    if len(matching_runs) != 1:
+        names = ", ".join(run.name for run in runs) or "none found"
+        raise click.UsageError(f"choose one of the runs with --run: {names}")
+    for stretch in matching_runs[0].stretches():
         try:
             count = cut(stretch, decisions, start, until, out)
         except EmptyStretchError:
@@ -202,4 +206,4 @@
             raise CommandFailed(ExitCode.FINDINGS, str(error)) from error
         click.echo(f"{out}: {count} entries")
         return
-    raise CommandFailed(ExitCode.FINDINGS, "no entry lies in that time")
+    raise CommandFailed(ExitCode.FINDINGS, "no entry lies between --from and --until")
--- a/stepsail/cli/command_group.py
+++ b/stepsail/cli/command_group.py
@@ -1,4 +1,4 @@
-"""The group of all sub-commands; those for experiments are imported when they are called."""
+"""The command group of `stepsail`, which imports the sub-commands for experiments only when they are used."""
 
 from __future__ import annotations
 
@@ -13,7 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LazyCommand:
-    """A command that is imported on use: the module that has it under its own name, and its help text."""
+    """A command that is imported when it is used.
+
+    Attributes:
+        module: Module that defines the command, in a variable with the command's name.
+        help: Help text in the list of commands.
+    """
 
     module: str
     help: str
@@ -21,27 +26,28 @@
 
 LAZY_COMMANDS = {
     "experiment": LazyCommand(
-        "stepsail.cli.experiments", "Grids of simulated days, kept as tables and compared."
+        "stepsail.cli.experiments", "Simulate days for many seeds and routers, and compare the results."
     ),
-    "hunt": LazyCommand("stepsail.cli.hunts", "Draw days until one breaks a rule or loses, and cut it down."),
+    "hunt": LazyCommand("stepsail.cli.hunts", "Search simulated days for broken rules and lost service."),
     "load": LazyCommand(
-        "stepsail.cli.loads", "Load a running instance on loopback and find the rate that it keeps up with."
+        "stepsail.cli.loads",
+        "Load-test a running instance on loopback and find the highest rate it sustains.",
     ),
 }
 
 
 class LazyGroup(click.Group):
-    """A group that imports the commands for experiments on use.
+    """A command group that imports the commands for experiments only when they are used.
 
-    They need data frames and charts, which a machine that only serves does not install.
+    They need libraries for data frames and charts, which are not installed on machines that only serve.
     """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names of commands, in the order of the alphabet."""
+        """Return the names of all commands in alphabetical order."""
         return sorted({*super().list_commands(ctx), *LAZY_COMMANDS})
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the list of commands into the help, also where those for experiments cannot be imported."""
+        """Write the list of commands into the help, even if those for experiments cannot be imported."""
         rows: list[tuple[str, str]] = []
         for name in self.list_commands(ctx):
             if name in LAZY_COMMANDS:
@@ -54,21 +60,21 @@
             formatter.write_dl(rows)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of a name; raises click.ClickException where its module needs what is not installed."""
+        """Return a command; raises click.ClickException if a package that it needs is not installed."""
         if cmd_name not in LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
         try:
             module = import_module(LAZY_COMMANDS[cmd_name].module)
         except ModuleNotFoundError as error:
             raise click.ClickException(
-                f"'{cmd_name}' needs {error.name}, which is not installed for serving alone; "
+                f"'{cmd_name}' needs the package {error.name}, which is not installed; run "
                 "pip install -r requirements-experiment.txt"
             ) from None
         command: click.Command = getattr(module, cmd_name)
         return command
 
     def add_hidden_alias(self, command: click.Command, alias: str) -> None:
-        """Let a command be called by an earlier name too, which the help does not list."""
+        """Make a command available under an earlier name too, which the help does not list."""
         hidden = copy.copy(command)
         hidden.hidden = True
         self.add_command(hidden, alias)
--- a/stepsail/cli/exit_codes.py
+++ b/stepsail/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""How the command `stepsail` ends: its exit codes, and the error that ends it with one of them."""
+"""Exit codes of the command `stepsail`, and the exception that ends it with one of them."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
     """Exit codes of every sub-command."""
 
     OK = 0
-    """Done, and nothing was found wrong."""
+    """The command succeeded and found no problem."""
     FINDINGS = 1
-    """Done, and what was checked is at fault: a rule broken, a damaged file, an instance not ready."""
+    """The command found a problem, such as a broken rule, a damaged file or an instance that is not ready."""
     USAGE = 2
-    """The command line is wrong, or a file that it names cannot be read."""
+    """The command line is invalid, or a file named in it cannot be read."""
     UNANSWERED = 3
-    """An instance ended with requests unanswered (`serve`, `fleet run`)."""
+    """An instance ended before it had answered all requests (`serve`, `fleet run`)."""
     FAILED = 4
-    """The program failed, an address cannot be bound, or nothing listens at one that is asked."""
+    """The program failed, an address could not be bound, or nothing listens at an address that was called."""
 
 
 class CommandFailed(click.ClickException):
     """Ends a command with a message on standard error and an exit code.
 
     Attributes:
-        code: the exit code.
+        code: The exit code.
     """
 
     def __init__(self, code: ExitCode, message: str) -> None:
@@ -40,13 +40,17 @@
         self.exit_code = code.value
 
     def show(self, file: IO[Any] | None = None) -> None:
-        """Print the message by itself: it names a file and line, or an address, as compilers do."""
+        """Print the message without a prefix, as compilers do: it names a file and line, or an address."""
         click.echo(self.message, file=file, err=file is None)
 
 
 @contextmanager
-def settings_errors_end_command(code: ExitCode = ExitCode.USAGE) -> Iterator[None]:
-    """Within it, invalid settings end the command: each error on a line of its own, then the exit code."""
+def exit_on_invalid_settings(code: ExitCode = ExitCode.USAGE) -> Iterator[None]:
+    """End the command on invalid settings in this context, and print each error on a line of its own.
+
+    Args:
+        code: The exit code.
+    """
     try:
         yield
     except InvalidSettings as invalid:
--- a/stepsail/cli/experiments.py
+++ b/stepsail/cli/experiments.py
@@ -1,4 +1,4 @@
-"""Sub-commands on experiments: run, list, show, compare, report."""
+"""Sub-commands for experiments, which are grids of simulated days: run, list, show, compare, report."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 REPORT_FILE = "report.html"
 MAX_PRINTED_PROBLEMS = 20
-SPARE_CORES = 2  # left to the rest of the machine
+SPARE_CORES = 2  # left to other processes
 HAS_PROBLEM = (polars.col("failed") != "") | (polars.col("breaches") > 0)
 workers_option = click.option(
     "--workers", default=max(1, (os.cpu_count() or SPARE_CORES) - SPARE_CORES), show_default=True
@@ -31,7 +31,7 @@
 
 
 def parse_numbers(text: str) -> list[int]:
-    """Numbers given as `1..20` or `3,5,9`; raises click.BadParameter for anything else."""
+    """Parse numbers such as `1..20` or `3,5,9`; raises click.BadParameter for anything else."""
     try:
         low, dots, high = text.partition("..")
         if dots:
@@ -44,18 +44,18 @@
 
 
 def read_experiment(folder: Path) -> polars.DataFrame:
-    """The rows in a folder; raises CommandFailed where there are none."""
+    """Read the rows of the experiment in a folder; raises CommandFailed if there are none."""
     try:
         rows = read_rows(folder)
     except OSError as error:
         raise CommandFailed(ExitCode.USAGE, f"{folder} holds no experiment: {error}") from error
     if rows.is_empty():
-        raise CommandFailed(ExitCode.USAGE, f"{folder}: no run has ended yet")
+        raise CommandFailed(ExitCode.USAGE, f"{folder}: no run has finished yet")
     return rows
 
 
 def run_with_progress(runs: list[Run], folder: Path, workers: int) -> int:
-    """Run a grid, showing its progress and the time left; how many runs were made now."""
+    """Carry out the runs that the folder lacks, showing a progress bar, and return their number."""
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
     with Progress(*columns, console=Console(stderr=True), transient=True) as progress:
         task = progress.add_task(folder.name, total=len(runs))
@@ -64,15 +64,20 @@
 
 @click.group()
 def experiment() -> None:
-    """Grids of simulated days, kept as tables and compared."""
+    """Simulate days for many seeds and routers, and compare the results."""
 
 
 @experiment.command(name="run")
 @click.argument("folder", type=FOLDER)
 @click.argument("days", type=EXISTING_FILE, nargs=-1, required=True)
 @click.option("--seeds", default="1..5", show_default=True)
-@click.option("--modules", default="stepsail", show_default=True, help=f"Of {', '.join(MODULES)}.")
-@click.option("--instances", default="", help="Numbers of instances in place of the days' own.")
+@click.option(
+    "--modules",
+    default="stepsail",
+    show_default=True,
+    help=f"Routers, separated by commas, out of {', '.join(MODULES)}.",
+)
+@click.option("--instances", default="", help="Numbers of instances to use instead of the days' own.")
 @click.option("--umpires", "earlier_instances", default="", hidden=True)
 @workers_option
 def run_command(
@@ -84,17 +89,19 @@
     earlier_instances: str,
     workers: int,
 ) -> None:
-    """Play each day with each seed and router; what FOLDER has already is not played again."""
+    """Simulate each day with each seed and router. Runs that FOLDER already has are not repeated."""
     chosen = modules.split(",")
     unknown = [module for module in chosen if module not in MODULES]
     if unknown:
-        raise click.BadParameter(f"no module is called {unknown[0]}; there are {', '.join(MODULES)}")
+        raise click.BadParameter(f"no module is called {unknown[0]}; choose from {', '.join(MODULES)}")
     runs = make_grid(days, parse_numbers(seeds), chosen, parse_numbers(instances or earlier_instances))
     count = run_with_progress(runs, folder, workers)
     rows = read_experiment(folder)
     failed = len(rows.filter(polars.col("failed") != ""))
     breaches = int(rows["breaches"].fill_null(0).sum())
-    click.echo(f"{count} runs now, {len(rows)} in all; {failed} could not be played, {breaches} breaches")
+    click.echo(
+        f"{count} runs now, {len(rows)} in all; {failed} could not be simulated, {breaches} breaches of rules"
+    )
     for row in rows.filter(HAS_PROBLEM).head(MAX_PRINTED_PROBLEMS).iter_rows(named=True):
         click.echo(f"{row['key']}: {row['failed'] or row['breach']}", err=True)
     sys.exit(ExitCode.FINDINGS if breaches or failed else ExitCode.OK)
@@ -103,7 +110,7 @@
 @experiment.command(name="list")
 @click.argument("folder", type=FOLDER, default=Path("."))
 def list_command(folder: Path) -> None:
-    """The experiments below a folder."""
+    """List the experiments in a folder and its subfolders."""
     for journal in sorted(folder.rglob(JOURNAL)):
         rows = read_rows(journal.parent)
         line = f"{journal.parent}: {len(rows)} runs"
@@ -114,9 +121,9 @@
 
 @experiment.command()
 @click.argument("folder", type=FOLDER)
-@click.option("--csv", "as_csv", is_flag=True, help="Every run, as CSV.")
+@click.option("--csv", "as_csv", is_flag=True, help="Print every run as CSV.")
 def show(folder: Path, as_csv: bool) -> None:
-    """Each day and router, the worst first."""
+    """Print the results for each day and router, worst first."""
     rows = read_experiment(folder)
     if as_csv:
         click.echo(rows.write_csv(), nl=False)
@@ -134,22 +141,22 @@
 @click.option("--by", default="module", show_default=True, type=click.Choice(["module", "commit"]))
 @click.option("--what", "measure", default="service", show_default=True)
 def compare(folder: Path, one: str, other: str, by: str, measure: str) -> None:
-    """OTHER less ONE on the same days and seeds, with 95% intervals."""
+    """Print the difference OTHER - ONE on the same days and seeds, with 95% confidence intervals."""
     rows = read_experiment(folder)
     if measure not in rows.columns:
-        raise click.BadParameter(f"no column {measure!r}; there are {', '.join(rows.columns)}")
-    table = Table("day", "pairs", f"{measure}: mean", "95% interval", "sure", "pairs to tell 0.01")
-    for day, found in paired_differences(rows, by, one, other, measure).items():
-        *cells, needed = found.cells()
-        table.add_row(day or "all", *cells, "yes" if found.is_significant else "no", needed)
+        raise click.BadParameter(f"no column {measure!r}; choose from {', '.join(rows.columns)}")
+    table = Table("day", "pairs", f"{measure}: mean", "95% interval", "significant", "pairs needed for 0.01")
+    for day, difference in paired_differences(rows, by, one, other, measure).items():
+        *cells, needed = difference.cells()
+        table.add_row(day or "all", *cells, "yes" if difference.is_significant else "no", needed)
     Console().print(table)
 
 
 @experiment.command()
 @click.argument("folder", type=FOLDER)
-@click.option("--out", type=OUTPUT_FILE, help=f"Else {REPORT_FILE} in FOLDER.")
+@click.option("--out", type=OUTPUT_FILE, help=f"Output file; default: {REPORT_FILE} in FOLDER.")
 def report(folder: Path, out: Path | None) -> None:
-    """One HTML page with tables and charts, that opens without network."""
+    """Write an HTML page with tables and charts, which needs no network to open."""
     file = out or folder / REPORT_FILE
     file.write_text(html_page(read_experiment(folder), folder.name), "utf-8")
     click.echo(str(file))
--- a/stepsail/cli/fleets.py
+++ b/stepsail/cli/fleets.py
@@ -1,4 +1,4 @@
-"""`stepsail fleet`: run many instances by one file on this machine, show their state, restart them in turn, stop."""
+"""`stepsail fleet`: runs the instances of one file on this machine, shows, restarts and stops them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from stepsail.cli.exit_codes import CommandFailed, ExitCode, settings_errors_end_command
+from stepsail.cli.exit_codes import CommandFailed, ExitCode, exit_on_invalid_settings
 from stepsail.cli.logs import configure_logging
 from stepsail.cli.parameters import EXISTING_FILE
 from stepsail.fleet.plan import FleetPlan, read_plan
@@ -22,7 +22,7 @@
 from stepsail.http.single_request import request_once
 from stepsail.loop import Loop, PollDriver
 
-CONTROL_TIMEOUT = 2.0  # s, for the connection and again for the answer
+CONTROL_TIMEOUT = 2.0  # s to connect, and as many again to get the answer
 POLL_INTERVAL = 0.5  # s
 REFRESHES_PER_SECOND = 4
 STATUS_PATH = b"/status"
@@ -30,41 +30,41 @@
 STOP_PATH = b"/stop"
 READY_STATE = "ready"
 
-# A heading of the table, and the field of a row of the status that stands under it.
+# Columns of the status table: the heading, and the field of the status that the column shows.
 COLUMNS = {
     "instance": "umpire",
     "zone": "zone",
     "state": "state",
-    "for, s": "for",
+    "in state, s": "for",
     "pid": "pid",
     "starts": "starts",
-    "last code": "last_code",
+    "last exit code": "last_code",
     "listen": "listen",
-    "present": "present",
+    "members": "present",
     "settled": "settled",
 }
 
-# The answer of a running fleet to `/status`; its keys are those of `stepsail fleet status --json`.
+# The answer of a running fleet to `/status`, which `stepsail fleet status --json` prints as it is.
 Status = dict[str, Any]
 
 
 class FleetUnreachable(Exception):
-    """No fleet answers at the control address of its file."""
+    """No fleet answers at the control address in its file."""
 
 
 @click.group()
 def fleet() -> None:
-    """Many instances by one file on this machine."""
+    """Run many instances on this machine, as described in one file."""
 
 
 def _read_plan(file: Path) -> FleetPlan:
-    """The plan in a file; invalid settings end the command."""
-    with settings_errors_end_command():
+    """Read the plan in a file; invalid settings end the command."""
+    with exit_on_invalid_settings():
         return read_plan(file)
 
 
 def _call(plan: FleetPlan, path: bytes, method: bytes = b"GET") -> Status:
-    """Call the control address of a running fleet; raises FleetUnreachable."""
+    """Call the control address of a fleet and return its answer; raises FleetUnreachable."""
     driver = PollDriver()
     loop = Loop(driver, _drop_event)
     try:
@@ -81,11 +81,11 @@
 
 
 def _drop_event(event: str, **fields: object) -> None:
-    """For a loop that makes one call: its events are not logged."""
+    """Ignore a log event: nothing is logged for a loop that makes a single call."""
 
 
 def _call_running(plan: FleetPlan, path: bytes, method: bytes = b"GET") -> Status:
-    """Call a fleet for a command that needs one to run."""
+    """Call a fleet that has to be running; raises CommandFailed if none answers."""
     try:
         return _call(plan, path, method)
     except FleetUnreachable as error:
@@ -99,7 +99,7 @@
 @fleet.command()
 @click.argument("file", type=EXISTING_FILE)
 def run(file: Path) -> None:
-    """Start all instances, and again each one that ends; until SIGTERM or `fleet stop`."""
+    """Run all instances until SIGTERM or `fleet stop`, and restart each one that ends before."""
     plan = _read_plan(file)
     log = configure_logging("json", "info", fleet=file.stem)
     driver = PollDriver()
@@ -122,7 +122,7 @@
     if status["halted"]:
         remarks.append(f"halted: {status['halted']}")
     if status["views"] is not None:
-        remarks.append(f"{status['views']} views")
+        remarks.append(f"{status['views']} membership views")
     table = Table(*COLUMNS, title=", ".join(remarks) or None)
     for row in status["umpires"]:
         table.add_row(*(_cell(row, field) for field in COLUMNS.values()))
@@ -140,10 +140,10 @@
 
 @fleet.command()
 @click.argument("file", type=EXISTING_FILE)
-@click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
-@click.option("--live", is_flag=True, help="Go on until interrupted.")
+@click.option("--json", "as_json", is_flag=True, help="Print the status as JSON.")
+@click.option("--live", is_flag=True, help="Update the table until interrupted.")
 def status(file: Path, as_json: bool, live: bool) -> None:
-    """Show the state of each instance; exit code 1 where one is not ready."""
+    """Show the state of each instance. The exit code is 1 if any is not ready."""
     plan = _read_plan(file)
     report = _call_running(plan, STATUS_PATH)
     if as_json:
@@ -164,11 +164,13 @@
     "--rolling",
     is_flag=True,
     required=True,
-    help="In turn, with no more of them down at once than the file allows.",
+    help="Restart in turn, with no more instances down at once than the file allows.",
+)
+@click.option(
+    "--wait", is_flag=True, help="Wait until all are restarted; the exit code is 1 if the restart halted."
 )
-@click.option("--wait", is_flag=True, help="Until it is done; exit code 1 where it halted.")
 def restart(file: Path, rolling: bool, wait: bool) -> None:
-    """Restart all instances with the settings as they are now."""
+    """Restart all instances with the current contents of their settings files."""
     plan = _read_plan(file)
     _call_running(plan, RESTART_PATH, b"POST")
     while wait:
@@ -182,9 +184,9 @@
 
 @fleet.command()
 @click.argument("file", type=EXISTING_FILE)
-@click.option("--wait", is_flag=True, help="Until all have ended.")
+@click.option("--wait", is_flag=True, help="Wait until all instances have ended.")
 def stop(file: Path, wait: bool) -> None:
-    """Shut all instances down, and the fleet with them."""
+    """Shut down all instances, and then the fleet itself."""
     plan = _read_plan(file)
     _call_running(plan, STOP_PATH, b"POST")
     while wait:
--- a/stepsail/cli/hunts.py
+++ b/stepsail/cli/hunts.py
@@ -1,4 +1,4 @@
-"""`stepsail hunt`: draws days until one breaks a rule or loses service, and shrinks what it finds."""
+"""`stepsail hunt`: searches simulated days for broken rules and lost service, and shrinks what it finds."""
 
 from __future__ import annotations
 
@@ -33,9 +33,11 @@
 @click.command()
 @click.argument("days", type=EXISTING_FILE, nargs=-1, required=True)
 @click.option("--seeds", default="1..100", show_default=True)
-@click.option("--rows", "rows_folder", type=FOLDER, help="Stores the runs; else a temporary folder does.")
+@click.option("--rows", "rows_folder", type=FOLDER, help="Folder for the runs; default: a temporary one.")
 @click.option("--found", type=FOLDER, default=Path("days/found"), show_default=True)
-@click.option("--lose", "min_service", type=float, default=0.0, help="Also days whose service is below this.")
+@click.option(
+    "--lose", "min_service", type=float, default=0.0, help="Also report days whose service is below this."
+)
 @workers_option
 def hunt(
     days: tuple[Path, ...],
@@ -45,14 +47,14 @@
     min_service: float,
     workers: int,
 ) -> None:
-    """Draw days until one breaks a rule or loses, and cut each find down to the smallest that still does."""
+    """Simulate days, and store those that break a rule, shrunk as far as possible, or that lose service."""
     folder = rows_folder or Path(tempfile.mkdtemp(prefix="stepsail-hunt-"))
     runs = make_grid(days, parse_numbers(seeds), ["stepsail"], [])
     run_with_progress(runs, folder, workers)
     rows = read_experiment(folder)
-    caught = rows.filter(HAS_PROBLEM | (polars.col("service") < min_service))
-    click.echo(f"{len(rows)} days, {len(caught)} caught")
-    for row in caught.iter_rows(named=True):
+    problem_rows = rows.filter(HAS_PROBLEM | (polars.col("service") < min_service))
+    click.echo(f"{len(rows)} days, {len(problem_rows)} with problems")
+    for row in problem_rows.iter_rows(named=True):
         click.echo(f"{row['key']}: {row['failed'] or row['breach'] or row['service']}")
         if row["failed"]:
             continue
@@ -61,31 +63,31 @@
         except InvalidSettings as invalid:
             click.echo(str(invalid), err=True)
             continue
-        _store_find(day, row, found)
-    sys.exit(ExitCode.FINDINGS if len(caught) else ExitCode.OK)
+        _store_day(day, row, found)
+    sys.exit(ExitCode.FINDINGS if len(problem_rows) else ExitCode.OK)
 
 
-def _store_find(day: Day, row: dict[str, Any], found: Path) -> None:
-    """Shrink a day that broke rules, and write it with its reason into the folder of finds."""
+def _store_day(day: Day, row: dict[str, Any], folder: Path) -> None:
+    """Write a day to a file, with the reason why it is stored; a day that breaks rules is shrunk first."""
     rules = _broken_rules(day)
     reason = f"service {row['service']:.3f}"
     if rules:
-        day = shrink(day, partial(_breaks_any, rules))
+        day = shrink(day, partial(_breaks_any_rule, rules))
         reason = f"rule {', '.join(map(str, sorted(rules)))} broken"
-    found.mkdir(parents=True, exist_ok=True)
-    file = found / f"{row['day']}-{row['seed']}.conf"
-    site = Path(os.path.relpath(day.site.resolve(), found.resolve()))
+    folder.mkdir(parents=True, exist_ok=True)
+    file = folder / f"{row['day']}-{row['seed']}.conf"
+    site = Path(os.path.relpath(day.site.resolve(), folder.resolve()))
     heading = f"# Found by a hunt: {reason}, commit {row['commit']}.\n"
     file.write_text(heading + day_file_text(day, site), "utf-8")
-    click.echo(f"  {file}: {len(day.troubles)} troubles, {len(day.offers)} offers, {day.length:g} s")
+    click.echo(f"  {file}: {len(day.troubles)} faults, {len(day.offers)} new builds, {day.length:g} s")
 
 
 def _broken_rules(day: Day) -> set[int]:
-    """The rules that playing this day breaks."""
-    with tempfile.TemporaryDirectory() as name:
-        play(copy.deepcopy(day), Path(name))
-        return {breach.rule for breach in verify(read_history(Path(name) / "transcript.jsonl"))}
+    """Simulate a day and return the rules that it breaks."""
+    with tempfile.TemporaryDirectory() as folder:
+        play(copy.deepcopy(day), Path(folder))
+        return {breach.rule for breach in verify(read_history(Path(folder) / "transcript.jsonl"))}
 
 
-def _breaks_any(rules: set[int], day: Day) -> bool:
+def _breaks_any_rule(rules: set[int], day: Day) -> bool:
     return bool(rules & _broken_rules(day))
--- a/stepsail/cli/loads.py
+++ b/stepsail/cli/loads.py
@@ -1,4 +1,4 @@
-"""`stepsail load`: an open loop of requests at a running instance on loopback, at one rate after the other."""
+"""`stepsail load`: sends requests to a running instance in an open loop, at one rate after another."""
 
 from __future__ import annotations
 
@@ -21,20 +21,23 @@
 from stepsail.standins.arrivals import Rate, burst, curve, shift, steady
 
 STEADY = "steady"
-GIVE_UP_SHARE = 0.5  # in time; after a step with less no further one is made
 
-# The rate over time, from a step's rate, its seconds and how strong the profile is.
+# If a smaller share of a step's requests is served in time, the steps after it are left out.
+MIN_IN_TIME_SHARE_TO_CONTINUE = 0.5
+
+# Load profiles: functions that return the rate over time. Their arguments are the base rate of a step, its
+# duration in seconds, and the factor by which the profile changes the rate.
 PROFILES: dict[str, Callable[[float, float, float], Rate]] = {
-    STEADY: lambda rate, seconds, times: steady(rate),
-    "burst": lambda rate, seconds, times: burst(rate, seconds / 3, seconds / 3, times),
+    STEADY: lambda rate, seconds, factor: steady(rate),
+    "burst": lambda rate, seconds, factor: burst(rate, seconds / 3, seconds / 3, factor),
     "curve": curve,
-    "shift": lambda rate, seconds, times: shift(rate, seconds / 2, times),
+    "shift": lambda rate, seconds, factor: shift(rate, seconds / 2, factor),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOptions:
-    """The options of the command."""
+    """The options of `stepsail load`, under the names of its parameters."""
 
     rates: str
     seconds: float
@@ -51,48 +54,48 @@
 @click.command()
 @click.argument("url")
 @click.option(
-    "--rates", default="50,100,200,400,800,1600", show_default=True, help="Requests a second, by step."
+    "--rates", default="50,100,200,400,800,1600", show_default=True, help="Requests per second, by step."
 )
-@click.option("--seconds", default=5.0, show_default=True, help="Of each step.")
+@click.option("--seconds", default=5.0, show_default=True, help="Duration of a step.")
 @click.option("--form", "profile", type=click.Choice(list(PROFILES)), default=STEADY, show_default=True)
-@click.option("--times", default=2.5, show_default=True, help="How strong a burst, curve or shift is.")
+@click.option("--times", default=2.5, show_default=True, help="Factor of a burst, curve or shift.")
 @click.option("--method", default="GET", show_default=True)
 @click.option("--body", default="")
 @click.option(
-    "--patience", "client_timeout", default=3.0, show_default=True, help="Seconds that a client waits."
+    "--patience", "client_timeout", default=3.0, show_default=True, help="Client timeout in seconds."
 )
 @click.option(
     "--target",
     "latency_objective",
     default=1.0,
     show_default=True,
-    help="Seconds within which an answer counts.",
+    help="Latency objective: seconds within which an answer is in time.",
 )
 @click.option("--connections", default=500, show_default=True)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--rows", type=FOLDER, help="Keep the steps as rows of an experiment.")
+@click.option("--rows", type=FOLDER, help="Folder to store the steps in, as rows of an experiment.")
 def load(url: str, rows: Path | None, **options: Any) -> None:
-    """Load a running instance on loopback at URL, an open loop, and find the rate up to which it keeps up."""
-    given = LoadOptions(**options)
-    spec = _make_spec(url, given)
+    """Send load in an open loop to a running instance on loopback, and find the highest rate it sustains."""
+    load_options = LoadOptions(**options)
+    spec = _make_spec(url, load_options)
     driver = PollDriver()
     loop = Loop(driver)
     try:
-        steps = loop.run(_run_steps, loop, spec, given)
+        steps = loop.run(_run_steps, loop, spec, load_options)
     finally:
         driver.shutdown()
-    click.echo(f"keeps up to {knee(steps):g} a second")
+    click.echo(f"highest sustained rate: {knee(steps):g} requests per second")
     if rows:
-        _store_steps(rows, steps, url, given)
+        _store_steps(rows, steps, url, load_options)
 
 
 def _make_spec(url: str, options: LoadOptions) -> RequestSpec:
-    """The request to send; raises click.BadParameter for a URL that is not on loopback."""
+    """Return the request to send; raises click.BadParameter for a URL that is not on loopback."""
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname or not parts.port:
-        raise click.BadParameter("such as http://127.0.0.1:8080/lookup", param_hint="URL")
+        raise click.BadParameter("expected a URL such as http://127.0.0.1:8080/lookup", param_hint="URL")
     if not ipaddress.ip_address(parts.hostname).is_loopback:
-        raise click.BadParameter("only a loopback address may be loaded", param_hint="URL")
+        raise click.BadParameter("only a loopback address may be load-tested", param_hint="URL")
     return RequestSpec(
         address=(parts.hostname, parts.port),
         method=options.method.encode(),
@@ -104,7 +107,7 @@
 
 
 def _run_steps(loop: Loop, spec: RequestSpec, options: LoadOptions) -> list[Step]:
-    """Make the steps in turn, until one falls far behind; print each."""
+    """Run the steps in turn and print each, until one has too few answers in time."""
     generator = LoadGenerator(loop, spec, options.connections, Random(f"{options.seed} load"))
     steps: list[Step] = []
     for rate in parse_numbers(options.rates):
@@ -113,7 +116,7 @@
         step = generator.step(profile, peak, options.seconds, rate)
         steps.append(step)
         click.echo(_step_text(rate, step))
-        if step.in_time < step.due * GIVE_UP_SHARE:
+        if step.in_time < step.due * MIN_IN_TIME_SHARE_TO_CONTINUE:
             break
     return steps
 
@@ -121,9 +124,10 @@
 def _step_text(rate: int, step: Step) -> str:
     row = step.row()
     return (
-        f"{rate} a second: {step.in_time / max(1, step.due):.1%} in time, {step.rejected} rejected, "
-        f"{step.failed + step.lost} failed or lost, median {row['median'] * 1e3:.1f} ms, "
-        f"99% {row['p99'] * 1e3:.1f} ms, longest {row['longest'] * 1e3:.1f} ms"
+        f"{rate} requests per second: {step.in_time / max(1, step.due):.1%} in time, "
+        f"{step.rejected} rejected, {step.failed + step.lost} failed or lost, "
+        f"median {row['median'] * 1e3:.1f} ms, 99th percentile {row['p99'] * 1e3:.1f} ms, "
+        f"maximum {row['longest'] * 1e3:.1f} ms"
     )
 
 
--- a/stepsail/cli/logs.py
+++ b/stepsail/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: one JSON object a line, or lines for a person at a console."""
+"""Structured logging to standard error, as one JSON object per line or as readable lines for a console."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     """Set up logging to standard error and return a logger.
 
     Args:
-        log_format: "console" for lines that a person reads; anything else gives JSON.
-        level: the least level that is written, one of LEVELS.
-        **context: fields of every line.
+        log_format: "console" for readable lines; any other value means JSON.
+        level: Lowest level that is logged, one of LEVELS.
+        **context: Fields that every line gets.
     """
     renderer: Any = structlog.processors.JSONRenderer()
     if log_format == CONSOLE_FORMAT:
--- a/stepsail/cli/main.py
+++ b/stepsail/cli/main.py
@@ -1,4 +1,4 @@
-"""The command `stepsail` and its sub-commands. Exit codes: `stepsail/cli/exit_codes.py`."""
+"""The command `stepsail` and its sub-commands; `stepsail/cli/exit_codes.py` defines the exit codes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name=None, version=VERSION, prog_name="stepsail")
 def main() -> None:
-    """A request router and release judge."""
+    """Route requests to servers, and decide on the release of new builds."""
 
 
 def _add_commands(group: LazyGroup) -> None:
--- a/stepsail/cli/parameters.py
+++ b/stepsail/cli/parameters.py
@@ -1,4 +1,4 @@
-"""Types of arguments and options that several sub-commands take."""
+"""Parameter types that several sub-commands use."""
 
 from __future__ import annotations
 
--- a/stepsail/cli/qualify.py
+++ b/stepsail/cli/qualify.py
@@ -1,4 +1,4 @@
-"""`stepsail qualify`: real instances on loopback under faults drawn from seeds, and the breaches found."""
+"""`stepsail qualify`: runs real instances on loopback under random faults, and reports broken rules."""
 
 from __future__ import annotations
 
@@ -19,34 +19,36 @@
 from stepsail.qualify.soak import InstanceNotServing, SoakPlan, run_soak
 
 MAX_PROCESSES = 300  # instances that run at once
-MAX_PRINTED_BREACHES = 10  # of a run
-MAX_PRINTED_LOG = 200  # characters
+MAX_PRINTED_BREACHES = 10  # per run
+MAX_PRINTED_LOG = 200  # characters, of an instance that did not serve
 OK_STATUS = 200
 
-# A run as `--json` prints it.
+# The report on a run, as `--json` prints it.
 RunReport = dict[str, Any]
 
 
 @click.group()
 def qualify() -> None:
-    """Real instances under drawn faults, judged by what clients, servers and discovery saw."""
+    """Test real instances under random faults, by the records of clients, servers and discovery."""
 
 
 @qualify.command(name="run")
 @click.option("--first-seed", default=1, show_default=True, help="The first seed.")
-@click.option("--seeds", default=1, show_default=True, type=click.IntRange(1, 10_000), help="How many seeds.")
 @click.option(
-    "--seconds", default=20.0, show_default=True, type=click.FloatRange(5.0, 600.0), help="Of one run."
+    "--seeds", default=1, show_default=True, type=click.IntRange(1, 10_000), help="Number of seeds."
 )
 @click.option(
-    "--instances", default=4, show_default=True, type=click.IntRange(1, 100), help="Processes in a run."
+    "--seconds", default=20.0, show_default=True, type=click.FloatRange(5.0, 600.0), help="Duration of a run."
 )
 @click.option(
-    "--clients", default=3, show_default=True, type=click.IntRange(1, 100), help="Clients an instance."
+    "--instances", default=4, show_default=True, type=click.IntRange(1, 100), help="Instances per run."
 )
-@click.option("--jobs", default=1, show_default=True, type=click.IntRange(1, 16), help="Runs side by side.")
+@click.option(
+    "--clients", default=3, show_default=True, type=click.IntRange(1, 100), help="Clients per instance."
+)
+@click.option("--jobs", default=1, show_default=True, type=click.IntRange(1, 16), help="Parallel runs.")
 @click.option("--out", required=True, type=FOLDER, help="Folder for logs.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a run.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per run.")
 def run_command(
     first_seed: int,
     seeds: int,
@@ -57,9 +59,11 @@
     out: Path,
     as_json: bool,
 ) -> None:
-    """Make runs under drawn faults and print each breach; the logs of all processes stay in the folder."""
+    """Run instances under random faults, and print broken rules. All logs are kept in the folder."""
     if instances * jobs > MAX_PROCESSES:
-        raise click.UsageError(f"{instances * jobs} processes at once; {MAX_PROCESSES} at most")
+        raise click.UsageError(
+            f"{instances * jobs} processes at once are too many; the limit is {MAX_PROCESSES}"
+        )
     plans = [SoakPlan(seed, seconds, instances, clients) for seed in range(first_seed, first_seed + seeds)]
     failed = 0
     for report in _run_all(plans, out, jobs):
@@ -67,12 +71,12 @@
             failed += 1
         click.echo(json.dumps(report) if as_json else _run_text(report))
     if not as_json:
-        click.echo(f"{len(plans)} runs, {failed} of them with a breach")
+        click.echo(f"{len(plans)} runs, {failed} of them failed")
     sys.exit(ExitCode.FINDINGS if failed else ExitCode.OK)
 
 
 def _run_all(plans: list[SoakPlan], out: Path, jobs: int) -> Iterator[RunReport]:
-    """Make the runs in turn, or several side by side; their reports in the order of their seeds."""
+    """Carry out the runs, `jobs` of them in parallel, and yield their reports in the order of the plans."""
     folders = [out / f"seed-{plan.seed}" for plan in plans]
     if jobs == 1:
         yield from map(_run_one, plans, folders)
@@ -83,7 +87,7 @@
 
 
 def _run_one(plan: SoakPlan, folder: Path) -> RunReport:
-    """Make one run, and return what `--json` prints of it."""
+    """Carry out a run and return its report."""
     result: RunReport = {"seed": plan.seed, "not_serving": "", "breaches": []}
     try:
         report = run_soak(plan, folder)
@@ -100,13 +104,13 @@
 
 
 def _run_text(report: RunReport) -> str:
-    """A run for a person: one line, and a further one for each of the first breaches."""
+    """Return the text on a run: a summary line, and a line for each of the first breaches."""
     if report["not_serving"]:
-        return f"seed {report['seed']}: did not serve: {report['not_serving'][:MAX_PRINTED_LOG]}"
+        return f"seed {report['seed']}: an instance did not serve: {report['not_serving'][:MAX_PRINTED_LOG]}"
     lines = [
-        f"seed {report['seed']}: {report['requests']} requests, {report['statuses'].get(OK_STATUS, 0)} served, "
-        f"{report['attempts']} attempts, {sum(report['faults'].values())} faults, "
-        f"{len(report['breaches'])} breaches"
+        f"seed {report['seed']}: {report['requests']} requests, "
+        f"{report['statuses'].get(OK_STATUS, 0)} served, {report['attempts']} attempts, "
+        f"{sum(report['faults'].values())} faults, {len(report['breaches'])} breaches"
     ]
     for breach in report["breaches"][:MAX_PRINTED_BREACHES]:
         lines.append(f"    {breach['rule']} at {breach['at']:.3f}: {breach['evidence']}")
@@ -117,7 +121,7 @@
 @click.argument("seed", type=int)
 @click.option("--seconds", default=20.0, show_default=True)
 def list_command(seed: int, seconds: float) -> None:
-    """The faults that a seed draws."""
+    """List the faults of a seed."""
     for fault in draw_faults(seed, seconds):
         click.echo(
             f"{fault.at:7.3f} s  {fault.kind.name.lower():20} {fault.duration:6.3f} s  {fault.kind.value}"
--- a/stepsail/cli/rehearsals.py
+++ b/stepsail/cli/rehearsals.py
@@ -1,4 +1,4 @@
-"""`stepsail rehearse`: a day of faults against stand-ins, on sockets or in virtual time, and the report on it."""
+"""`stepsail rehearse`: plays a day against stand-ins, on sockets or in virtual time, and reports on it."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from rich.console import Console
 from rich.live import Live
 
-from stepsail.cli.exit_codes import CommandFailed, ExitCode, settings_errors_end_command
+from stepsail.cli.exit_codes import CommandFailed, ExitCode, exit_on_invalid_settings
 from stepsail.cli.logs import CONSOLE_FORMAT, configure_logging
 from stepsail.cli.parameters import FOLDER
-from stepsail.cli.reports import report_on
+from stepsail.cli.reports import verify_transcript
 from stepsail.loop import Loop, PollDriver
 from stepsail.settings import InvalidSettings
 from stepsail.simulation.play import play
@@ -27,19 +27,20 @@
 DAY_FILE = "day.conf"
 REFRESHES_PER_SECOND = 4
 
+# Called with the seconds since the day began and a short description of its state.
 Progress = Callable[[float, str], None]
 
 
 def _find_day_file(day: Path) -> Path:
-    """The file of a day that is named by itself or by its folder."""
+    """Return the file of a day, given the file or its folder; raises click.BadParameter if there is none."""
     file = day / DAY_FILE if day.is_dir() else day
     if not file.is_file():
-        raise click.BadParameter(f"{day} is neither a day's file nor a folder with a {DAY_FILE}")
+        raise click.BadParameter(f"{day} is neither a day file nor a folder that contains a {DAY_FILE}")
     return file
 
 
 def _simulate(day: Day, out: Path, progress: Progress) -> list[int | None]:
-    """Play a day in virtual time; the exit codes of its instances."""
+    """Play a day in virtual time and return the exit codes of its instances."""
     played = play(day, out, progress=progress)
     click.echo(f"{played.emulated:.0f} s simulated in {played.wall:.1f} s", err=True)
     return played.codes
@@ -48,7 +49,7 @@
 def _rehearse_on_sockets(
     day: Day, out: Path, progress: Progress, command: list[str] | None, log: Any
 ) -> list[int | None]:
-    """Play a day with processes on loopback; their exit codes."""
+    """Play a day with processes on loopback and return the exit codes of its instances."""
     driver = PollDriver()
     try:
         loop = Loop(driver, log.warning)
@@ -61,14 +62,22 @@
 
 @click.command()
 @click.argument("day", type=click.Path(path_type=Path))
-@click.option("--out", type=FOLDER, help="Where transcript and logs go.")
-@click.option("--seed", type=int, help="In place of the day's own.")
+@click.option("--out", type=FOLDER, help="Folder for the transcript and the logs.")
+@click.option("--seed", type=int, help="Seed to use instead of the day's own.")
 @click.option("--json", "as_json", is_flag=True, help="Print the report as JSON.")
 @click.option(
-    "--simulated", is_flag=True, help="In virtual time, in one process, the same again for the same seed."
+    "--simulated",
+    is_flag=True,
+    help="Simulate in virtual time in one process; a seed always gives the same run.",
 )
 @click.option("--emulated", "earlier_simulated", is_flag=True, hidden=True)
-@click.option("--umpire-command", "command", hidden=True, multiple=True, help="Runs an instance in tests.")
+@click.option(
+    "--umpire-command",
+    "command",
+    hidden=True,
+    multiple=True,
+    help="Command that runs an instance, for tests.",
+)
 def rehearse(
     day: Path,
     out: Path | None,
@@ -78,8 +87,8 @@
     earlier_simulated: bool,
     command: tuple[str, ...],
 ) -> None:
-    """Play a day against stand-ins, verify the five rules on what the sockets carried, and report."""
-    with settings_errors_end_command():
+    """Play a day against stand-ins, verify the five rules on the traffic, and print a report."""
+    with exit_on_invalid_settings():
         settings = read_day(_find_day_file(day), seed)
     out = out or Path(tempfile.mkdtemp(prefix=f"stepsail-{settings.name}-"))
     log = configure_logging(CONSOLE_FORMAT, "warning")
@@ -87,10 +96,11 @@
     try:
         with Live(console=console, refresh_per_second=REFRESHES_PER_SECOND, transient=True) as live:
 
-            def show_progress(at: float, what: str) -> None:
+            def show_progress(elapsed: float, activity: str) -> None:
                 if console.is_terminal:
                     live.update(
-                        f"{settings.name} seed {settings.seed}: {at:5.1f} of {settings.length:g} s, {what}"
+                        f"{settings.name} seed {settings.seed}: "
+                        f"{elapsed:5.1f} of {settings.length:g} s, {activity}"
                     )
 
             if simulated or earlier_simulated:
@@ -100,4 +110,4 @@
     except (InvalidSettings, RuntimeError, OSError, SimulationStalled) as error:
         raise CommandFailed(ExitCode.FAILED, str(error)) from error
     failed_instances = sum(code != 0 for code in codes)
-    sys.exit(report_on(out, as_json, failed_instances))
+    sys.exit(verify_transcript(out, as_json, failed_instances))
--- a/stepsail/cli/replays.py
+++ b/stepsail/cli/replays.py
@@ -1,4 +1,4 @@
-"""Sub-commands that feed captures to the router again: replay, explain, view."""
+"""Sub-commands that replay captured events through a router: replay, explain, view."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def load_decisions(path: Path | None) -> ModuleType:
-    """The package of decisions, or another build of it."""
+    """Return the `decisions` package, or another build of it; raises click.BadParameter if it is invalid."""
     try:
         return decisions if path is None else load_build(path)
     except InvalidBuild as error:
@@ -37,11 +37,11 @@
 @click.option(
     "--against",
     type=EXISTING_PATH,
-    help="Another build of the decisions: the folder of its package, or one file with its class Router.",
+    help="Another build of the router: the folder of its package, or one file with its class Router.",
 )
-@click.option("--what-if", is_flag=True, help="Go on after the first difference and count them.")
+@click.option("--what-if", is_flag=True, help="Continue after the first difference and count all of them.")
 def replay_command(path: Path, until: float | None, against: Path | None, what_if: bool) -> None:
-    """Feed captures to the router again and compare its commands, entry for entry."""
+    """Replay captured events through the router, and compare its commands with the captured ones."""
     module = load_decisions(against)
     captures = read_captures(path)
     differing = 0
@@ -65,7 +65,7 @@
     if meta["gap"]:
         click.echo(
             f"run {run.name}: {meta['gap'].get('lost', '?')} entries were dropped before "
-            f"entry {meta['first']}; the replay begins anew there"
+            f"entry {meta['first']}; the replay starts again there"
         )
 
 
@@ -78,18 +78,18 @@
     click.echo("\n".join(result.first_difference.lines(server_addresses(stretch))))
     if what_if:
         click.echo(
-            "From the first difference on, the events are those that followed the captured "
-            "decisions, not those that would have followed these."
+            "After the first difference, the events are still those that followed the captured commands; "
+            "the commands of the replay would have led to others."
         )
 
 
 @click.command()
 @click.argument("path", type=EXISTING_PATH)
-@click.option("--request", type=int, help="Number of a request.")
+@click.option("--request", type=int, help="Number of the request.")
 @click.option("--transaction", "earlier_request", type=int, hidden=True)
-@click.option("--vote", type=int, help="Which vote of the run, from 0.")
+@click.option("--vote", type=int, help="Index of the vote in the run, from 0.")
 def explain(path: Path, request: int | None, earlier_request: int | None, vote: int | None) -> None:
-    """Show the evidence that the router had when it decided."""
+    """Show the evidence that the router had when it routed a request or cast a vote."""
     if request is None:
         request = earlier_request
     if (request is None) == (vote is None):
@@ -110,11 +110,11 @@
                 if rows:
                     _print_table(console, rows)
     if not any_found:
-        raise CommandFailed(ExitCode.FINDINGS, "nothing found")
+        raise CommandFailed(ExitCode.FINDINGS, "no such request or vote found")
 
 
 def _print_table(console: Console, rows: list[tuple[str, ...]]) -> None:
-    """Print rows as a table; the first one is its heading."""
+    """Print rows as a table, with the first row as its heading."""
     heading, *body = rows
     table = Table(*heading)
     for row in body:
@@ -124,15 +124,16 @@
 
 @click.command()
 @click.argument("path", type=EXISTING_PATH)
-@click.option("--run", "name", help="Which run, where there are several.")
+@click.option("--run", "name", help="Name of the run, if there are several.")
 def view(path: Path, name: str | None) -> None:
-    """Walk through a capture in the terminal, forward and back."""
-    from stepsail.view.app import CaptureApp  # textual takes a moment to load; the other commands do without
+    """Step through a capture in the terminal, forward and backward."""
+    # Imported here, as textual loads slowly and no other command needs it.
+    from stepsail.view.app import CaptureApp
     from stepsail.view.track import Track
 
     runs = [run for run in read_captures(path).runs if name in (None, run.name)]
     if not runs:
-        raise click.UsageError("no such run there")
+        raise click.UsageError("the capture has no such run")
     run = runs[0]
     stretch = next(run.stretches())
     try:
--- a/stepsail/cli/reports.py
+++ b/stepsail/cli/reports.py
@@ -1,4 +1,4 @@
-"""`stepsail verify`: the rules checked on a transcript, and the report on it as JSON or for a person."""
+"""`stepsail verify`: checks the rules on a transcript, and prints the report as JSON or as text."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 REPORT_FILE = "report.json"
 PROBLEM_STYLE = "red"
 
-# A report as it is stored and printed: `stepsail.verify.report.summary` and the keys that are added here.
+# A report as it is stored and printed: the result of `stepsail.verify.report.summary`, and the keys that
+# `_make_report` adds.
 Report = dict[str, Any]
 
 
@@ -31,20 +32,20 @@
 @click.argument("folder", type=EXISTING_PATH)
 @click.option("--json", "as_json", is_flag=True, help="Print the report as JSON.")
 def verify_command(folder: Path, as_json: bool) -> None:
-    """Verify the five rules on a transcript, and report."""
-    sys.exit(report_on(folder, as_json, failed_instances=0))
+    """Verify the five rules on a transcript, and print a report."""
+    sys.exit(verify_transcript(folder, as_json, failed_instances=0))
 
 
-def report_on(folder: Path, as_json: bool, failed_instances: int) -> ExitCode:
-    """Check a transcript, store the report beside it, print it, and return how the command ends.
+def verify_transcript(folder: Path, as_json: bool, failed_instances: int) -> ExitCode:
+    """Verify a transcript, store the report beside it, print the report, and return the exit code.
 
     Args:
-        folder: a rehearsal's folder, or its transcript alone; a report is stored only in a folder.
-        as_json: print JSON in place of tables.
-        failed_instances: how many instances ended with an exit code other than 0.
+        folder: A rehearsal's folder, or its transcript alone; a report is stored only in a folder.
+        as_json: Whether to print JSON instead of tables.
+        failed_instances: Number of instances that ended with an exit code other than 0.
 
     Raises:
-        CommandFailed: the transcript cannot be read.
+        CommandFailed: The transcript cannot be read.
     """
     file = folder / TRANSCRIPT_FILE if folder.is_dir() else folder
     try:
@@ -68,7 +69,7 @@
 
 
 def _make_report(history: History, folder: Path, failed_instances: int) -> Report:
-    """The findings of all checkers on a transcript, under the keys of stored reports."""
+    """Return the findings of all checkers on a transcript, under the keys of stored reports."""
     report = summary(history, verify(history)) | {"umpires_that_left_badly": failed_instances}
     if folder.is_dir() and any(line["at"] == "day" and line["what"] == "view" for line in history.lines):
         membership = read_membership_checker(folder)
@@ -94,14 +95,14 @@
     console.print("votes:", _counts_text(report["votes"]) or "none")
     for instance, exposure in report["exposure"].items():
         console.print(
-            f"instance {instance}: {exposure['relays']} attempts at canary builds; closest window "
-            f"{exposure.get('sent', 0)} of {exposure.get('allowed', 0)} allowed"
+            f"instance {instance}: {exposure['relays']} attempts at canary builds; "
+            f"window closest to its limit: {exposure.get('sent', 0)} of {exposure.get('allowed', 0)} allowed"
         )
     if report["cold"]:
         server, load = max(report["cold"].items(), key=lambda item: float(item[1]))
         console.print(
-            f"servers warming up: {len(report['cold'])}; the most loaded {server}, "
-            f"{load:.0%} of what overloads it"
+            f"servers warming up: {len(report['cold'])}; highest load: {server}, "
+            f"{load:.0%} of its overload threshold"
         )
     _print_problems(console, report)
     verdict = "RULES BROKEN" if report["breaches"] else "no rule broken"
@@ -109,8 +110,8 @@
 
 
 def _class_table(report: Report) -> Table:
-    """A line for each request class."""
-    table = Table("product", "asked", "in time", "service", "median s", "99% s")
+    """Return a table with a row for each request class."""
+    table = Table("request class", "requests", "in time", "service", "median s", "99% s")
     for name, figures in report["products"].items():
         table.add_row(
             name,
@@ -129,16 +130,18 @@
 
 def _release_text(release: dict[str, Any]) -> str:
     after = f" after {release['after']:.1f} s" if "after" in release else ""
-    remark = "" if release["right"] else "  <- wrong for this build"
+    remark = "" if release["right"] else "  <- wrong decision for this build"
     return f"build {release['build']} ({release['kind']}): {release['end']}{after}{remark}"
 
 
 def _print_problems(console: Console, report: Report) -> None:
-    """Print what broke: rules, guarantees of membership and of policies, and instances that ended badly."""
+    """Print broken rules, broken guarantees of membership and policies, and how many instances failed."""
     for breach in report["breaches"]:
         console.print(breach, markup=False, style=PROBLEM_STYLE)
-    for broken in (*report.get("view_promises_broken", ()), *report["policy_promises_broken"]):
-        console.print(broken, markup=False, style=PROBLEM_STYLE)
+    for violation in (*report.get("view_promises_broken", ()), *report["policy_promises_broken"]):
+        console.print(violation, markup=False, style=PROBLEM_STYLE)
     failed_instances = report["umpires_that_left_badly"]
     if failed_instances:
-        console.print(f"{failed_instances} instances did not shut down well", style=PROBLEM_STYLE)
+        console.print(
+            f"{failed_instances} instances ended with an exit code other than 0", style=PROBLEM_STYLE
+        )
--- a/stepsail/cli/serve.py
+++ b/stepsail/cli/serve.py
@@ -8,7 +8,7 @@
 
 import click
 
-from stepsail.cli.exit_codes import ExitCode, settings_errors_end_command
+from stepsail.cli.exit_codes import ExitCode, exit_on_invalid_settings
 from stepsail.cli.logs import configure_logging
 from stepsail.cli.parameters import EXISTING_FILE
 from stepsail.decisions.router import Router
@@ -22,7 +22,7 @@
 
 
 def _make_driver(clock: str | None) -> PollDriver:
-    """The loop's driver, by a wrong clock where a rehearsal asks for one."""
+    """Return the loop's driver, with a skewed clock if a rehearsal requests one."""
     if not clock:
         return PollDriver()
     try:
@@ -33,10 +33,10 @@
 
 @click.command()
 @click.argument("file", type=EXISTING_FILE)
-@click.option("--clock", hidden=True, help="Rehearsals run it under a clock that is wrong: RATE,BY@AT.")
+@click.option("--clock", hidden=True, help="Skewed clock that rehearsals run the instance on: RATE,BY@AT.")
 def serve(file: Path, clock: str | None) -> None:
-    """Run one instance by its settings file, until SIGTERM."""
-    with settings_errors_end_command():
+    """Run one instance with the settings in FILE until SIGTERM."""
+    with exit_on_invalid_settings():
         settings = load_settings(file)
     log = configure_logging(settings.log_format, settings.log_level, umpire=settings.router.instance_index)
     driver = _make_driver(clock)
--- a/stepsail/cli/trails.py
+++ b/stepsail/cli/trails.py
@@ -1,4 +1,4 @@
-"""Sub-commands on audit trails: verify, show, find, export, heads, seal, reconcile, merge, new-key."""
+"""Sub-commands for audit trails: verify, show, find, export, heads, seal, reconcile, merge, new-key."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from stepsail.trail.segments import SignedHead
 
 DEFAULT_MAX_ENTRIES = 200
-MAX_DISCREPANCIES = 50  # printed by `reconcile`
+MAX_PRINTED_DISCREPANCIES = 50  # by `reconcile`
 CSV_COLUMNS = (
     "seq",
     "wall",
@@ -42,15 +42,15 @@
 
 
 def _entries(folder: Path) -> Iterator[tuple[int, Entry]]:
-    """The entries of a folder; raises CommandFailed where they cannot be read."""
+    """Yield the entries of a trail; raises CommandFailed if they cannot be read."""
     try:
         yield from read_entries(folder)
     except (OSError, DamagedFileError, msgspec.MsgspecError) as error:
         raise CommandFailed(ExitCode.FINDINGS, f"{folder}: {error}") from error
 
 
-def printable(seq: int, entry: Entry) -> dict[str, Any]:
-    """An entry as JSON for people and other programs: bytes as hexadecimal."""
+def entry_as_object(seq: int, entry: Entry) -> dict[str, Any]:
+    """Return an entry as an object for JSON, with bytes in hexadecimal."""
     fields = {
         name: value.hex() if isinstance(value, bytes) else value for name, value in entry.fields.items()
     }
@@ -58,32 +58,30 @@
 
 
 def _attempts_text(fields: dict[str, Any]) -> str:
-    """The attempts of an answer, as `server=outcome`."""
+    """Return the attempts of an answer as text such as `server=outcome`."""
     return " ".join(f"{server}={outcome}" for server, outcome in fields.get("relays", []))
 
 
 @click.group()
 def trail() -> None:
-    """Audit trails: what was decided, and the final answer of every request accepted."""
+    """Check and export audit trails of decisions and of the final answers to all accepted requests."""
 
 
 @trail.command(name="verify")
 @click.argument("folder", type=EXISTING_FOLDER)
-@click.option(
-    "--public", type=EXISTING_FILE, help="The public key, as published; else the trail's own is taken."
-)
-@click.option("--heads", type=EXISTING_FILE, help="Published heads, as 'trail heads' prints them.")
+@click.option("--public", type=EXISTING_FILE, help="The published public key; default: the trail's own.")
+@click.option("--heads", type=EXISTING_FILE, help="Published heads, as printed by 'trail heads'.")
 def verify_trail(folder: Path, public: Path | None, heads: Path | None) -> None:
-    """Check every byte, link and signature."""
+    """Check every byte, hash link and signature."""
     public_key = bytes.fromhex(public.read_text().strip()) if public else None
     lines = heads.read_bytes().splitlines() if heads else []
     published = [msgspec.json.decode(line, type=SignedHead) for line in lines]
     report = audit_trail(folder, public_key, published)
-    extent = f"{report.entries} entries"
+    entries_text = f"{report.entries} entries"
     if report.first_seq:
-        extent = f"entries {report.first_seq} to {report.entries - 1}"
+        entries_text = f"entries {report.first_seq} to {report.entries - 1}"
     click.echo(
-        f"{extent}, {report.valid_heads} good heads, signed up to entry {report.signed_to}, "
+        f"{entries_text}, {report.valid_heads} good heads, signed up to entry {report.signed_to}, "
         f"{report.unsigned} behind the last head"
     )
     for note in report.notes:
@@ -98,14 +96,14 @@
 @click.option("--kind", multiple=True, type=click.Choice([kind.exported_name for kind in EntryKind]))
 @click.option("--most", "limit", default=DEFAULT_MAX_ENTRIES, show_default=True)
 def show_trail(folder: Path, kind: tuple[str, ...], limit: int) -> None:
-    """Print entries, one JSON object a line."""
+    """Print entries, one JSON object per line."""
     printed = 0
     for seq, entry in _entries(folder):
-        line = printable(seq, entry)
+        line = entry_as_object(seq, entry)
         if kind and line["kind"] not in kind:
             continue
         if printed >= limit:
-            click.echo(f"… more; --most {limit} are shown", err=True)
+            click.echo(f"… more entries follow; the output is limited to {limit} entries (--most)", err=True)
             return
         click.echo(json.dumps(line))
         printed += 1
@@ -115,12 +113,12 @@
 @click.argument("folders", type=EXISTING_FOLDER, nargs=-1, required=True)
 @click.option("--text", required=True, help="A receipt, idempotency key or request id.")
 def find(folders: tuple[Path, ...], text: str) -> None:
-    """Find everything about one request."""
+    """Print all entries about one request."""
     any_found = False
     for folder in folders:
         for seq, entry in _entries(folder):
             if text in (entry.fields.get(name) for name in ("receipt", "label", "request")):
-                click.echo(json.dumps({"folder": str(folder), **printable(seq, entry)}))
+                click.echo(json.dumps({"folder": str(folder), **entry_as_object(seq, entry)}))
                 any_found = True
     sys.exit(ExitCode.OK if any_found else ExitCode.FINDINGS)
 
@@ -132,20 +130,20 @@
     """Write answers as CSV (RFC 4180) or all entries as JSON lines to standard output."""
     if export_format == "jsonl":
         for seq, entry in _entries(folder):
-            click.echo(json.dumps(printable(seq, entry)))
+            click.echo(json.dumps(entry_as_object(seq, entry)))
         return
-    out = csv.writer(sys.stdout)
-    out.writerow(CSV_COLUMNS)
+    writer = csv.writer(sys.stdout)
+    writer.writerow(CSV_COLUMNS)
     for seq, entry in _entries(folder):
         if entry.kind == EntryKind.ANSWER:
-            row = printable(seq, entry) | {"relays": _attempts_text(entry.fields)}
-            out.writerow([row.get(column, "") for column in CSV_COLUMNS])
+            row = entry_as_object(seq, entry) | {"relays": _attempts_text(entry.fields)}
+            writer.writerow([row.get(column, "") for column in CSV_COLUMNS])
 
 
 @trail.command()
 @click.argument("folder", type=EXISTING_FOLDER)
 def heads(folder: Path) -> None:
-    """Print the signed heads, one JSON object a line: publish the last one."""
+    """Print the signed heads, one JSON object per line; the last one is to be published."""
     for segment in read_segments(RealDisk(folder), folder):
         for head in segment.heads():
             click.echo(msgspec.json.encode(head).decode())
@@ -154,9 +152,9 @@
 @trail.command(name="seal")
 @click.argument("folder", type=EXISTING_FOLDER)
 def seal_command(folder: Path) -> None:
-    """Sign what a crash left behind the last head, close the trail, and print the head: publish it.
+    """Sign the entries that a crash left unsigned, close the trail, and print the new head to be published.
 
-    For a trail whose instance is stopped; a running one signs a head every few seconds itself.
+    The instance of the trail must be stopped; a running instance signs a head every few seconds itself.
     """
     try:
         head = seal_trail(folder)
@@ -168,29 +166,32 @@
 @trail.command(name="reconcile")
 @click.argument("folders", type=EXISTING_FOLDER, nargs=-1, required=True)
 @click.option(
-    "--clients", required=True, type=EXISTING_FILE, help="A transcript of clients, one JSON object a line."
+    "--clients",
+    required=True,
+    type=EXISTING_FILE,
+    help="Transcript of the clients, one JSON object per line.",
 )
 def reconcile_command(folders: tuple[Path, ...], clients: Path) -> None:
-    """Compare trails with what clients received."""
+    """Compare trails with the answers that clients received."""
     transcript = [json.loads(line) for line in clients.read_bytes().splitlines()]
     received = [
         event for event in transcript if event.get("at") == "client" and event.get("what") == "answer"
     ]
     result = reconcile((entry for folder in folders for entry in _entries(folder)), received)
     click.echo(
-        f"{result.received} answers received, {result.recorded} kept, {result.matching} agree, "
-        f"{result.unconfirmed} kept and neither confirmed nor received"
+        f"{result.received} answers received, {result.recorded} recorded, {result.matching} match, "
+        f"{result.unconfirmed} recorded but neither confirmed as sent nor received"
     )
-    for discrepancy in result.discrepancies[:MAX_DISCREPANCIES]:
+    for discrepancy in result.discrepancies[:MAX_PRINTED_DISCREPANCIES]:
         click.echo(discrepancy, err=True)
     sys.exit(ExitCode.FINDINGS if result.discrepancies else ExitCode.OK)
 
 
 @trail.command(name="merge")
 @click.argument("folders", type=EXISTING_FOLDER, nargs=-1, required=True)
-@click.option("--several", is_flag=True, help="Only requests with more than one answer.")
+@click.option("--several", is_flag=True, help="Print only requests with more than one answer.")
 def merge_command(folders: tuple[Path, ...], several: bool) -> None:
-    """Print the trails of several instances as one: a request and its retries together."""
+    """Print the answers in several trails, with those to a request and its retries together."""
     for request, answers in merge({str(folder): _entries(folder) for folder in folders}).items():
         if several and len(answers) == 1:
             continue
@@ -206,6 +207,9 @@
 @trail.command(name="new-key")
 @click.argument("folder", type=EXISTING_FOLDER)
 def new_key(folder: Path) -> None:
-    """Make a new key. The old one signs it over where it is still there; what it signed stays good either way."""
+    """Create a new signing key, signed with the old key if that still exists.
+
+    The signatures of the old key stay valid in either case.
+    """
     key = SigningKey.rotate(folder)
     click.echo(f"new key {key.id}; publish {folder / PUBLIC_FILE}")
--- a/tests/capture/test_adapter.py
+++ b/tests/capture/test_adapter.py
@@ -1,4 +1,4 @@
-"""The bench's adapter captured: the same replies to the byte, and a replay without a difference."""
+"""Captures of the simulator's adapter change no byte of its replies and replay without a difference."""
 
 from __future__ import annotations
 
@@ -25,50 +25,66 @@
 """
 
 
-def frame(clock: float, records: bytes) -> bytes:
+def encode_batch(clock: float, records: bytes) -> bytes:
     return struct.pack("<Id", 12 + len(records), clock) + records
 
 
-def history() -> bytes:
-    """Two instances, three boxes, a build on trial, some calls and their endings."""
-    boxes = [bytes((10, 0, 0, n)) + struct.pack("<H", 80) for n in range(3)]
-    page = struct.pack("<BHI", 26, 0, 3) + b"".join(
-        struct.pack("<6sBHHfBfd", box, 0, 0, 0, 1.0 + (n == 2), 1, 1.0, 0.0) for n, box in enumerate(boxes)
+def event_batches() -> bytes:
+    """Events for two instances: three servers, a build on canary, requests and the ends of attempts."""
+    addresses = [bytes((10, 0, 0, n)) + struct.pack("<H", 80) for n in range(3)]
+    endpoint_list = struct.pack("<BHI", 26, 0, 3) + b"".join(
+        struct.pack("<6sBHHfBfd", address, 0, 0, 0, 1.0 + (n == 2), 1, 1.0, 0.0)
+        for n, address in enumerate(addresses)
     )
-    text = b""
-    for who in (0, 1):
-        text += struct.pack("<BHQI", 18, who, 42 + who, len(SETTINGS)) + SETTINGS + page * (who == 0)
-        text += struct.pack("<BHBQH", 20, who, 3, 1, 0)
-        text += struct.pack("<BHdfHBBHB", 17, who, 100.0, 0.5, 2, 0, 0, 0, 0)
-    frames = frame(8000.0, text)
-    for at in range(60):
-        clock = 8000.0 + 20.0 * (at + 1)
-        calls = struct.pack("<BHQHBddQB", 25, at % 2, at, 0, 0, 0.0, clock + 1500, 0, 0)
-        if at:
-            calls += struct.pack(
-                "<BHQHBHd6sB", 23, (at - 1) % 2, at - 1, (0, 1, 3)[at % 3], at % 3 == 0, 0, 15.0, boxes[0], 0
+    records = b""
+    for instance in (0, 1):
+        records += (
+            struct.pack("<BHQI", 18, instance, 42 + instance, len(SETTINGS))
+            + SETTINGS
+            + endpoint_list * (instance == 0)
+        )
+        records += struct.pack("<BHBQH", 20, instance, 3, 1, 0)
+        records += struct.pack("<BHdfHBBHB", 17, instance, 100.0, 0.5, 2, 0, 0, 0, 0)
+    batches = encode_batch(8000.0, records)
+    for request_number in range(60):
+        clock = 8000.0 + 20.0 * (request_number + 1)
+        events = struct.pack(
+            "<BHQHBddQB", 25, request_number % 2, request_number, 0, 0, 0.0, clock + 1500, 0, 0
+        )
+        if request_number:
+            events += struct.pack(
+                "<BHQHBHd6sB",
+                23,
+                (request_number - 1) % 2,
+                request_number - 1,
+                (0, 1, 3)[request_number % 3],
+                request_number % 3 == 0,
+                0,
+                15.0,
+                addresses[0],
+                0,
             )
-        frames += frame(clock, calls)
-    return frames
+        batches += encode_batch(clock, events)
+    return batches
 
 
 def test_captured_adapter_replies_the_same_bytes_and_replays(tmp_path: Path) -> None:
-    plain, captured = (
+    uncaptured, captured = (
         subprocess.run(
             [sys.executable, "-m", "stepsail.adapter"],
-            input=history(),
+            input=event_batches(),
             capture_output=True,
             cwd=ROOT,
             check=True,
-            env={k: v for k, v in os.environ.items() if k != "STEPSAIL_CAPTURE"} | more,
+            env={k: v for k, v in os.environ.items() if k != "STEPSAIL_CAPTURE"} | extra_environment,
         )
-        for more in ({}, {"STEPSAIL_CAPTURE": str(tmp_path / "kept")})
+        for extra_environment in ({}, {"STEPSAIL_CAPTURE": str(tmp_path / "kept")})
     )
-    assert plain.stdout == captured.stdout and len(plain.stdout) > 60 * REPLY_HEADER.size + 500
+    assert uncaptured.stdout == captured.stdout and len(uncaptured.stdout) > 60 * REPLY_HEADER.size + 500
     captures = read_runs(tmp_path / "kept")
     runs, damaged = captures.runs, captures.damaged
     assert damaged == [] and sorted(r.instance for r in runs) == [0, 0]
     for run in runs:
         for stretch in run.stretches():
-            found = replay_stretch(stretch, decisions)
-            assert found.first_difference is None and found.event_counts["request_accepted"] == 30
+            result = replay_stretch(stretch, decisions)
+            assert result.first_difference is None and result.event_counts["request_accepted"] == 30
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -1,4 +1,4 @@
-"""Earlier spellings of commands and options, what the help lists, and exit codes."""
+"""Earlier names of commands and options, the commands in the help, and exit codes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     stage 100% cap 1
 }
 """
-FLEET = """
+FLEET_FILE = """
 umpires 2
 zones here there
 common site.conf
@@ -65,7 +65,7 @@
     return file
 
 
-def test_serve_is_listed_and_its_earlier_name_is_hidden() -> None:
+def test_help_lists_serve_and_hides_its_earlier_name() -> None:
     names = [line.split()[0] for line in run("--help").stdout.split("Commands:")[1].splitlines() if line]
     assert "serve" in names and "umpire" not in names
     assert run("umpire", "--help").stdout.splitlines()[1:] == run("serve", "--help").stdout.splitlines()[1:]
@@ -79,7 +79,7 @@
     assert by_earlier_name.stderr == served.stderr
 
 
-def test_a_day_is_simulated_by_either_option_and_the_earlier_one_is_hidden(
+def test_rehearse_simulates_with_either_option_and_hides_the_earlier_one(
     short_day: Path, tmp_path: Path
 ) -> None:
     transcripts = []
@@ -92,37 +92,37 @@
     assert "--emulated" not in run("rehearse", "--help").stdout
 
 
-def test_the_number_of_instances_of_an_experiment_is_set_by_either_option(
-    short_day: Path, tmp_path: Path
-) -> None:
+def test_experiment_takes_the_number_of_instances_from_either_option(short_day: Path, tmp_path: Path) -> None:
     for option in ("--instances", "--umpires"):
         folder = tmp_path / option.strip("-")
-        done = run("experiment", "run", folder, short_day, "--seeds", "1", option, "2", "--workers", "1")
-        assert done.exit_code == ExitCode.OK, done.stderr
+        result = run("experiment", "run", folder, short_day, "--seeds", "1", option, "2", "--workers", "1")
+        assert result.exit_code == ExitCode.OK, result.stderr
         assert read_rows(folder)["umpires"].to_list() == [2]
 
 
-def test_invalid_settings_are_the_finding_of_check_and_wrong_use_elsewhere(invalid_settings: Path) -> None:
+def test_invalid_settings_exit_with_findings_from_check_and_usage_from_other_commands(
+    invalid_settings: Path,
+) -> None:
     checked = run("check", invalid_settings)
     assert checked.exit_code == ExitCode.FINDINGS and "invalid.conf:1:1: missing" in checked.stderr
     for command in ("serve", "rehearse"):
         assert run(command, invalid_settings).exit_code == ExitCode.USAGE
 
 
-def test_a_missing_transcript_is_wrong_use(tmp_path: Path) -> None:
+def test_missing_transcript_exits_with_usage(tmp_path: Path) -> None:
     verified = run("verify", tmp_path)
     assert verified.exit_code == ExitCode.USAGE and "transcript.jsonl" in verified.stderr
 
 
-def test_a_fleet_that_does_not_answer_is_a_failure(tmp_path: Path) -> None:
+def test_unreachable_fleet_exits_with_failed(tmp_path: Path) -> None:
     plan = tmp_path / "fleet.conf"
     control = "{}:{}".format(*free_address())
-    plan.write_text(FLEET.format(control=control))
+    plan.write_text(FLEET_FILE.format(control=control))
     (tmp_path / "site.conf").write_text(COMMON_SETTINGS)
     for arguments in (("status",), ("restart", "--rolling"), ("stop",)):
-        done = run("fleet", *arguments, plan)
-        assert done.exit_code == ExitCode.FAILED
-        assert done.stderr.startswith(f"no fleet answers at {control}: ")
+        result = run("fleet", *arguments, plan)
+        assert result.exit_code == ExitCode.FAILED
+        assert result.stderr.startswith(f"no fleet answers at {control}: ")
 
 
 def test_exit_codes_keep_their_values() -> None:
