--- a/stepsail/platform/__init__.py
+++ b/stepsail/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Runs an instance on the platform: its protocol towards clients, servers, endpoint discovery and release control.
+"""Runs an instance on a hosting platform, using the protocols that the platform defines.
 
-Decisions are made by the router (`stepsail.decisions`), as in every other mode.
+The protocols are those for clients, servers, endpoint discovery and release control. All decisions are made
+by the router in `stepsail.decisions`, as in every other mode.
 """
--- a/stepsail/platform/__main__.py
+++ b/stepsail/platform/__main__.py
@@ -1,7 +1,8 @@
-"""`python -m stepsail.platform`: one instance in the foreground, configured by its environment.
+"""Runs one instance in the foreground: `python -m stepsail.platform`, configured by environment variables.
 
-Exit codes: 0 stopped by SIGTERM with every request answered, 2 an invalid configuration, 3 stopped with some
-unanswered, 4 an address that cannot be had or a failure of the program itself.
+Exit codes: 0 if SIGTERM stopped the instance and every request was answered, 2 for an invalid configuration,
+3 if the instance stopped with unanswered requests, 4 if the listen address is unavailable or the program
+itself failed.
 """
 
 from __future__ import annotations
@@ -21,20 +22,18 @@
 from stepsail.platform.json_log import JsonLog
 
 START_READ_ATTEMPTS = 6
-GC_THRESHOLDS = (
-    20_000,
-    20,
-    20,
-)  # objects in the youngest generation; collections of one before the next one's
+# Objects in the youngest generation that trigger its collection; for each of the two older generations, the
+# collections of the next younger generation that trigger one.
+GC_THRESHOLDS = (20_000, 20, 20)
 EXIT_INVALID_CONFIGURATION = 2
 EXIT_FAILURE = 4
 
 
-def read_at_start(read: Callable[[], PlatformConfiguration]) -> PlatformConfiguration:
-    """Read the configuration, again for a while if it is invalid, as while the file is being replaced.
+def read_with_retries(read: Callable[[], PlatformConfiguration]) -> PlatformConfiguration:
+    """Read the configuration; retry for a while if it is invalid, as the file may be about to be replaced.
 
     Raises:
-        InvalidConfiguration: It stayed invalid.
+        InvalidConfiguration: The configuration was invalid at every attempt.
     """
     for _ in range(START_READ_ATTEMPTS - 1):
         try:
@@ -45,7 +44,7 @@
 
 
 def main() -> int:
-    """Run an instance until it is told to stop.
+    """Run an instance until a signal stops it.
 
     Returns:
         The exit code.
@@ -57,7 +56,7 @@
         return read_configuration(os.environ)
 
     try:
-        configuration = read_at_start(read)
+        configuration = read_with_retries(read)
     except InvalidConfiguration as error:
         print(f"stepsail: {error}", file=sys.stderr)
         return EXIT_INVALID_CONFIGURATION
@@ -70,7 +69,7 @@
             loop, configuration, Router, log, read, unix_offset=lambda: driver.wall_clock() - driver.now()
         )
         return int(loop.run(application.run))
-    except Exception as error:  # whatever it is, the last log line has to tell it
+    except Exception as error:  # any failure must be in the last log line
         _report_failure(log, error)
         return EXIT_FAILURE
     finally:
--- a/stepsail/platform/application.py
+++ b/stepsail/platform/application.py
@@ -1,4 +1,4 @@
-"""The life of an instance on the platform: start, reload on SIGHUP, graceful shutdown on SIGTERM."""
+"""Starts an instance on the platform, reloads it on SIGHUP and shuts it down gracefully on SIGTERM."""
 
 from __future__ import annotations
 
@@ -18,24 +18,25 @@
 from stepsail.proxy.serving_process import POLL_INTERVAL, ServingProcess
 from stepsail.settings.model import Address
 
-CONNECTING_CLIENTS_GRACE = 0.6  # s after SIGTERM in which clients still connect
-FIRST_LIST_TIMEOUT = 6.0  # s for the first list; an instance is expected to be ready within 10 s
-LISTEN_TIMEOUT = 10.0  # s in which the address for clients may become free
+CONNECTING_CLIENTS_GRACE = 0.6  # s after SIGTERM in which new client connections are still accepted
+# s to wait for the first endpoint list; an instance is expected to be ready within 10 s.
+FIRST_LIST_TIMEOUT = 6.0
+LISTEN_TIMEOUT = 10.0  # s to keep retrying while the listen address is unavailable
 LISTEN_RETRY_INTERVAL = 0.2  # s
-RELOAD_ATTEMPTS = 10  # reads of a configuration file that is invalid
+RELOAD_ATTEMPTS = 10  # reads of an invalid configuration file before a reload is given up
 MAX_LOGGED_ERROR = 300  # characters
 
 
 class PlatformApplication(ServingProcess):
-    """One instance on one loop.
+    """One instance, running on one event loop.
 
     Attributes:
-        configuration: The configuration of the start.
-        discovery: The endpoint list.
-        release_control: Events of releases, and votes.
-        sweep: Closes connections that have been idle too long; None before the start.
-        reload_task: The reload that is under way, or the last one.
-        reload_attempts_left: Reads of an invalid file that are left to the reload under way.
+        configuration: The configuration that was read at the start.
+        discovery: Keeps the endpoint list current.
+        release_control: Receives the events of releases and sends votes.
+        idle_sweep_task: Closes connections that have been idle too long; None before the start.
+        reload_task: The reload in progress, or the last one; None if there was none.
+        reload_attempts_left: How often the reload in progress may still read an invalid file.
     """
 
     def __init__(
@@ -47,15 +48,15 @@
         reread_configuration: Callable[[], PlatformConfiguration],
         unix_offset: Callable[[], float],
     ) -> None:
-        """Create an instance that neither listens nor calls yet.
+        """Create an instance that does not yet listen or make calls.
 
         Args:
-            loop: The loop that it runs on.
-            configuration: What to run by.
+            loop: The event loop that the instance runs on.
+            configuration: The instance's configuration.
             make_router: Creates the router.
-            log: Where events are reported.
-            reread_configuration: Reads the configuration as it is now, or raises InvalidConfiguration.
-            unix_offset: Gives the seconds by which Unix time is ahead of the loop's clock now.
+            log: The log that events are written to.
+            reread_configuration: Reads the current configuration, or raises InvalidConfiguration.
+            unix_offset: Returns the seconds by which Unix time is currently ahead of the loop's clock.
         """
         super().__init__(loop, configuration.settings, make_router, log)
         self.configuration = configuration
@@ -69,27 +70,27 @@
         )
         table = self.discovery.table
         client_protocol = PlatformClientProtocol(settings)
-        upstream_protocol = PlatformUpstreamProtocol(settings, table.location, configuration.load_reports)
+        upstream_protocol = PlatformUpstreamProtocol(settings, table.locate, configuration.load_reports)
         self.connect_protocols(client_protocol, upstream_protocol, NoAudit())
         table.on_stale_connections = self.upstream_pool.close_idle
         self.host.endpoint_list_usable = self.discovery.is_list_usable
         self.host.on_request_finished = client_protocol.attempts_ended
-        self.sweep: Task | None = None
+        self.idle_sweep_task: Task | None = None
         self.reload_task: Task | None = None
         self.reload_attempts_left = 0
 
-    # Commands of the router, beside those of ServingProcess.
+    # Commands of the router, in addition to those that ServingProcess implements.
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Vote on a build."""
+        """Send a vote on a build to release control."""
         self.release_control.cast_vote(build, stage, verdict)
 
     def poll_endpoints(self) -> None:
-        """Call for the endpoint list once."""
+        """Request the endpoint list once."""
         self.discovery.poll()
 
     def watch_endpoints(self) -> None:
-        """Keep a watch on the endpoint list from now on."""
+        """Start to keep a watch on the endpoint list open."""
         self.discovery.watch()
 
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[ServerHandle, int, int, int]]) -> None:
@@ -105,15 +106,15 @@
         """Serve until SIGTERM.
 
         Returns:
-            The exit code, as `shut_down` tells it.
+            The exit code that `shut_down` returned.
 
         Raises:
-            OSError: The address for clients cannot be had.
+            OSError: The listen address is unavailable.
         """
         self.stop_on_signals()
         self.loop.driver.on_signal(signal.SIGHUP, self.reload)
         self._start_router()
-        self.sweep = self.start_sweep()
+        self.idle_sweep_task = self.start_sweep()
         self.loop.spawn(self.log_counters_periodically, name="report counters")
         self._open_listener()
         self._wait_for_first_list()
@@ -122,20 +123,21 @@
         return self.shut_down()
 
     def stop_accepting(self) -> None:
-        """Go on for a while for clients that still connect, each connection ending with its response."""
+        """Stop accepting connections after a grace period; close each connection after its response."""
         self.listener.close_after_responses()
         self.loop.sleep(CONNECTING_CLIENTS_GRACE)
         self.listener.begin_shutdown()
 
     def release_resources(self) -> None:
-        """End the one background task that would last for ever."""
-        if self.sweep:
-            self.sweep.cancel()
+        """Cancel the sweep of idle connections, which would otherwise never end."""
+        if self.idle_sweep_task:
+            self.idle_sweep_task.cancel()
 
     def reload(self) -> None:
-        """Read the configuration again, on SIGHUP, and take over the addresses of discovery and release control.
+        """Reread the configuration on SIGHUP and apply its addresses of discovery and release control.
 
-        A signal that comes while an invalid file is read again grants it all attempts anew.
+        A signal that arrives while the reads of an invalid file are being retried resets the number of
+        attempts.
         """
         self.discovery.lease.configuration_changed(self.loop.now())
         self.reload_attempts_left = RELOAD_ATTEMPTS
@@ -152,7 +154,7 @@
             self.discovery.watch()
 
     def _open_listener(self) -> None:
-        """Listen for clients; what holds the address may be about to go, so it is tried for a while."""
+        """Listen for clients; retry for a while, as a process that uses the address may be about to exit."""
         deadline = self.loop.now() + LISTEN_TIMEOUT
         while True:
             try:
@@ -166,7 +168,7 @@
             self.loop.sleep(LISTEN_RETRY_INTERVAL)
 
     def _wait_for_first_list(self) -> None:
-        """Wait a while for a list of this start, as the cached one may be old."""
+        """Wait, for a limited time, for a list from after the start: the cached one may be outdated."""
         deadline = self.loop.now() + FIRST_LIST_TIMEOUT
         first_list_received = self.discovery.receiver.first_list_received
         while (
@@ -187,21 +189,21 @@
                 )
                 self.loop.sleep(REREAD_INTERVAL)
             else:
-                self._take_over_addresses(configuration)
+                self._apply_addresses(configuration)
                 return
 
-    def _take_over_addresses(self, configuration: PlatformConfiguration) -> None:
+    def _apply_addresses(self, configuration: PlatformConfiguration) -> None:
         discovery = configuration.settings.discovery_address
         release_control = configuration.settings.release_control_address
         self.log.info(
             "configuration_reloaded",
-            discovery=_address_text(discovery),
-            release_control=_address_text(release_control),
+            discovery=_format_address(discovery),
+            release_control=_format_address(release_control),
         )
         self.discovery.set_address(discovery)
         self.release_control.set_address(release_control)
 
 
-def _address_text(address: Address) -> str:
+def _format_address(address: Address) -> str:
     host, port = address
     return f"{host}:{port}"
--- a/stepsail/platform/configuration.py
+++ b/stepsail/platform/configuration.py
@@ -1,7 +1,7 @@
-"""Reads the platform's configuration file into the settings that an instance runs by.
+"""Reads the platform's configuration file and converts it to an instance's settings.
 
-What the file does not say follows from its limits: the descriptors that the process may have open are shared out
-between clients and servers.
+The file does not contain connection limits. They are derived from its limit on open file descriptors, which
+are divided between connections of clients and connections to servers.
 """
 
 from __future__ import annotations
@@ -20,23 +20,25 @@
 from stepsail.settings.flat_settings import FlatSettings, flatten_json, read_router_settings
 from stepsail.settings.model import InstanceSettings, Route
 
-REREAD_INTERVAL = 0.2  # s between two reads of a file that cannot be read, as while it is being replaced
-RESERVED_DESCRIPTORS = 32  # for logs, listener, signals, discovery, release control and its votes
-CLIENT_CONNECTION_SHARE = 0.55  # of the other descriptors: clients come in crowds, so they get more than half
+REREAD_INTERVAL = 0.2  # s between two reads of a file that is invalid, for example while it is being replaced
+RESERVED_DESCRIPTORS = 32  # for logs, the listener, signals, discovery, release control and its votes
+# Of the other descriptors; more than half, as clients connect in bursts.
+CLIENT_CONNECTION_SHARE = 0.55
 MAX_HEAD_BYTES = 16384
-MAX_BODY_BYTES = 65536  # no body of the protocol is larger
-MAX_BUFFERED_BYTES = 1 << 62  # no limit: bodies are never streamed
+MAX_BODY_BYTES = 65536  # the protocol has no larger body
+MAX_BUFFERED_BYTES = 1 << 62  # in effect no limit: bodies are never streamed
 CLIENT_IDLE_TIMEOUT = 5.0  # s
-EVICTABLE_IDLE_TIME = 2.0  # s after which an idle client makes room for a new one
-FIRST_REQUEST_TIMEOUT = 2.2  # s from connecting to a whole request; invalid ones have to end within 3 s
-CLIENT_READ_TIMEOUT = 2.0  # s for each later request
-CONNECTION_REST = (
-    0.025  # s before a server's connection is used again, as a second answer may follow the first
-)
-IDLE_CONNECTION_SHARE = 0.6  # of the servers' idle timeout for which an idle connection is still used
-SHUTDOWN_TIMEOUT_BEYOND_REQUESTS = 0.7  # s beyond the longest client timeout
-LONGEST_COUNTED_CLIENT_TIMEOUT = 3.0  # s of a client timeout that the shutdown waits for
-SHUTDOWN_MARGIN = 0.05  # s before the platform kills the process
+EVICTABLE_IDLE_TIME = 2.0  # s after which an idle client connection may be closed to make room for a new one
+# s from the start of a client connection until its first request is complete; a connection without a valid
+# request has to end within 3 s.
+FIRST_REQUEST_TIMEOUT = 2.2
+CLIENT_READ_TIMEOUT = 2.0  # s until a later request is complete
+# s before a connection to a server is reused: the server may send a second response after the first.
+CONNECTION_REST = 0.025
+IDLE_CONNECTION_SHARE = 0.6  # of the servers' idle timeout, in which an idle connection is still reused
+SHUTDOWN_TIMEOUT_BEYOND_REQUESTS = 0.7  # s of the shutdown timeout on top of the longest client timeout
+LONGEST_COUNTED_CLIENT_TIMEOUT = 3.0  # s; longer client timeouts do not prolong the shutdown
+SHUTDOWN_MARGIN = 0.05  # s by which the shutdown ends before the platform kills the process
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,9 +46,11 @@
     """One instance's configuration.
 
     Attributes:
-        settings: The settings that all packages share.
-        release_state: State of the newest build, as a message of release control; None if there is none.
-        cached_list: Endpoint list from before the start, as a message of discovery; None if there is none.
+        settings: The instance's settings, in the form that is independent of the platform.
+        release_state: Release state of the newest build, as a message of release control; None if the file
+            has none.
+        cached_list: Endpoint list from before the start, as a message of discovery; None if the file has
+            none.
         load_reports: Whether servers report their load.
     """
 
@@ -57,14 +61,16 @@
 
 
 def read_configuration(environ: Mapping[str, str]) -> PlatformConfiguration:
-    """Read the file that the environment names.
+    """Read the configuration file whose path is in the environment.
 
     Raises:
-        InvalidConfiguration: There is none, or it cannot be used.
+        InvalidConfiguration: The environment names no file, or the file is unreadable or invalid.
     """
     file = environ.get(wire_names.CONFIGURATION_VARIABLE, "")
     if not file:
-        raise InvalidConfiguration(wire_names.CONFIGURATION_VARIABLE, "expected a file's name, found nothing")
+        raise InvalidConfiguration(
+            wire_names.CONFIGURATION_VARIABLE, "expected the path of a file, found nothing"
+        )
     try:
         content = msgspec.json.decode(Path(file).read_bytes())
     except (OSError, msgspec.DecodeError) as error:
@@ -85,7 +91,9 @@
     router = read_router_settings(pairs)
     if not router.request_classes or router.zone >= len(flat.texts("Zones")):
         raise InvalidField(
-            wire_names.CONFIG_SETTINGS, "request classes, and a zone among the zones", "neither or one"
+            wire_names.CONFIG_SETTINGS,
+            "request classes and the index of a listed zone",
+            "only one or neither",
         )
     release_control = require(content, wire_names.CONFIG_RELEASE_CONTROL, dict)
     return PlatformConfiguration(
@@ -99,18 +107,22 @@
 def _instance_settings(
     content: dict[str, Any], environ: Mapping[str, str], flat: FlatSettings, router: RouterSettings
 ) -> InstanceSettings:
-    """Build the settings, one field a line."""
+    """Build the settings from the file, the environment and the router's settings."""
     release_control = require(content, wire_names.CONFIG_RELEASE_CONTROL, dict)
     descriptors = _usable_descriptors(content)
     client_connections = int(descriptors * CLIENT_CONNECTION_SHARE)
     server_connections = descriptors - client_connections
-    class_names = tuple(flat.text(f"Lanes.{c.index}.Name") for c in router.request_classes)
+    class_names = tuple(
+        flat.text(f"Lanes.{request_class.index}.Name") for request_class in router.request_classes
+    )
     seed = require(content, wire_names.CONFIG_SEED, str)
     return InstanceSettings(
         router=router,
         class_names=class_names,
         zones=flat.texts("Zones"),
-        tenant_names=tuple(flat.text(f"Realms.{at}.Name") for at in range(flat.integer("Realms.count"))),
+        tenant_names=tuple(
+            flat.text(f"Realms.{index}.Name") for index in range(flat.integer("Realms.count"))
+        ),
         routes=_routes(router, class_names),
         listen=parse_address(
             environ.get(wire_names.LISTEN_VARIABLE) or content.get(wire_names.CONFIG_LISTEN),
@@ -152,13 +164,13 @@
 
 
 def _usable_descriptors(content: dict[str, Any]) -> int:
-    """Count the descriptors left for connections of clients and to servers."""
+    """Return how many descriptors are left for connections of clients and connections to servers."""
     limit = require_integer(content.get(wire_names.CONFIG_LIMITS), wire_names.CONFIG_SOCKET_LIMIT)
     return max(2 * RESERVED_DESCRIPTORS, limit - RESERVED_DESCRIPTORS)
 
 
 def _routes(router: RouterSettings, class_names: tuple[str, ...]) -> tuple[Route, ...]:
-    """Map the first part of a path to the request class of that name."""
+    """Create a route for each request class; the first part of its path is the name of the class."""
     return tuple(
         Route(
             method="GET" if request_class.idempotency is Idempotency.IDEMPOTENT else "POST",
@@ -170,6 +182,10 @@
 
 
 def _shutdown_timeout(router: RouterSettings) -> float:
-    """Let requests that came just before the stop signal use their time, and end before the platform kills."""
+    """Return how long a shutdown may take.
+
+    Requests that arrived just before the stop signal can use their client timeout, and the shutdown ends
+    before the platform kills the process.
+    """
     longest = max(request_class.client_timeout for request_class in router.request_classes)
     return SHUTDOWN_TIMEOUT_BEYOND_REQUESTS - SHUTDOWN_MARGIN + min(LONGEST_COUNTED_CLIENT_TIMEOUT, longest)
--- a/stepsail/platform/discovery.py
+++ b/stepsail/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Endpoint discovery: keeps the list of servers current by watches and polls, and keeps the lease on it."""
+"""Endpoint discovery: keeps the list of servers up to date by watches and polls, and maintains its lease."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class PlatformDiscovery:
-    """The endpoint list of one instance; the router asks for watches and polls.
+    """Maintains the endpoint list of one instance; the router decides when to watch and when to poll.
 
     Attributes:
-        receiver: Takes the lists, whichever call brings them.
+        receiver: Applies the lists from all watches and polls.
         watcher: Keeps a watch open.
-        lease: Until when requests may go by the list in hand.
-        poll_task: The poll that is under way, or the last one.
+        lease: Determines until when requests may be routed by the current list.
+        poll_task: The poll in progress, or the last one; None if there was none.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         address: Address,
         unix_offset: Callable[[], float],
     ) -> None:
-        """Create it without any call; `unix_offset` gives the seconds by which Unix time is ahead of the loop's."""
+        """Initialize without a call; `unix_offset` returns Unix time minus the loop's time in seconds."""
         self.loop = loop
         self.host = host
         self.log = log
@@ -48,7 +48,7 @@
         self.lease = ListLease(LeaseTerms(pushed, settings.router.drain_grace, settings.unwatched_list_ttl))
         self.list_state = ListState.MISSING
         self.receiver = EndpointListReceiver(loop, settings, host, log, self.lease, unix_offset)
-        # Where lists are pushed an agent serves this instance alone: no turn in the fleet has to be waited for.
+        # Where lists are pushed, an agent serves this instance alone: calls compete with no other instance.
         callers = 1 if pushed else settings.router.instance_count
         pacing = CallPacing("discovery", settings.seed or 0, callers)
         self.watcher = EndpointWatcher(loop, self.client, self.receiver, self.lease, pacing, host, log)
@@ -56,21 +56,21 @@
 
     @property
     def table(self) -> EndpointTable:
-        """The servers of the list in hand."""
+        """The servers of the current list."""
         return self.receiver.table
 
     @property
     def address(self) -> Address:
-        """The address of discovery that is in force."""
+        """The address at which discovery is currently called."""
         return self.client.address
 
     def load_cached_list(self, message: Any) -> None:
-        """Take the list from before the start, if there is one; it may be old, and confirms nothing."""
+        """Load the list from before the start, if there is one; it may be outdated and confirms nothing."""
         if message is not None:
             self.receiver.receive(message, self.receiver.lists_received, cached=True)
 
     def is_list_usable(self) -> bool:
-        """Whether a request may go to a server by the list in hand; a change of the lease's state is logged."""
+        """Return whether requests may be routed by the current list; log a change of the lease's state."""
         now = self.loop.now()
         state = self.lease.state(now)
         if state is not self.list_state:
@@ -85,7 +85,7 @@
         return self.lease.usable(now)
 
     def set_address(self, address: Address) -> None:
-        """A new configuration was read. If the address has changed, the watch goes on there, from the same index."""
+        """Apply an address from a new configuration; if changed, restart the watch at the same index."""
         changed = address != self.client.address
         self.lease.address_read(self.loop.now(), moved=changed)
         if changed:
@@ -93,13 +93,13 @@
             self.watcher.restart()
 
     def watch(self) -> None:
-        """Keep a watch open from now on."""
+        """Start to keep a watch open."""
         self.watcher.start()
 
     def poll(self) -> None:
-        """Call for a list once; while such a call is under way a second one would bring nothing more."""
+        """Request a list once; do nothing during a poll, as a second one would return the same."""
         if self.poll_task is None or self.poll_task.done:
-            self.poll_task = self.loop.spawn(self._poll, name="discovery asked once")
+            self.poll_task = self.loop.spawn(self._poll, name="poll discovery")
 
     def _poll(self) -> None:
         lists_received_at_call = self.receiver.lists_received
--- a/stepsail/platform/discovery_client.py
+++ b/stepsail/platform/discovery_client.py
@@ -1,4 +1,4 @@
-"""The calls to endpoint discovery, at the address that is in force."""
+"""Makes the calls to endpoint discovery at its current address."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 from stepsail.proxy.json_client import CallError
 from stepsail.settings.model import Address
 
-POLL_TIMEOUT = 2.0  # s for a list that is polled
+POLL_TIMEOUT = 2.0  # s for a poll of the list
 
 
 class DiscoveryClient:
-    """Makes the calls; `address` may be replaced between them."""
+    """Makes the calls; `address` may be changed between them."""
 
     def __init__(self, loop: Loop, address: Address) -> None:
         self.loop = loop
         self.address = address
 
     def watch(self, index: int, timeout: float) -> StreamingResponse:
-        """Call for the changes after a list's index, and for a snapshot if it is 0.
+        """Open a stream of the changes after a list's index; index 0 requests a snapshot first.
 
         Raises:
-            CallError: Discovery gave no stream in time.
+            CallError: Discovery did not respond with a stream in time.
         """
         return StreamingResponse(self.loop, self.address, wire_names.WATCH_PATH % index, timeout)
 
     def poll(self) -> Any:
-        """Call for a snapshot once.
+        """Request a snapshot once and return it decoded.
 
         Raises:
-            CallError: Discovery gave no list in time.
+            CallError: Discovery did not respond with a JSON body in time.
         """
-        answer = call(self.loop, self.address, b"GET", wire_names.ENDPOINTS_PATH, None, POLL_TIMEOUT)
-        if answer.status != HTTPStatus.OK:
-            raise CallError(f"expected status 200, found {answer.status}")
+        response = call(self.loop, self.address, b"GET", wire_names.ENDPOINTS_PATH, None, POLL_TIMEOUT)
+        if response.status != HTTPStatus.OK:
+            raise CallError(f"expected status 200, found {response.status}")
         try:
-            return msgspec.json.decode(answer.body)
+            return msgspec.json.decode(response.body)
         except msgspec.DecodeError as error:
             raise CallError(str(error)) from None
--- a/stepsail/platform/endpoint_list.py
+++ b/stepsail/platform/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Takes discovery's lists in the order of their index, whichever call brought them."""
+"""Applies the lists from all calls to discovery in the order of their index."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from stepsail.proxy.decision_host import DecisionHost, Logger
 from stepsail.settings.model import InstanceSettings
 
-MAX_LOGGED_NAMES = 12  # names of servers in one log line
+MAX_LOGGED_NAMES = 12  # server names in one log line
 
 
 class EndpointListReceiver:
-    """Takes lists and rejects those that a newer one has overtaken.
+    """Applies lists and ignores those that a newer one has superseded.
 
     Attributes:
-        index: Version of the list in hand, as discovery counts; 0 for none.
-        lists_received: How many lists were taken, by any call.
-        first_list_received: Set once a list that is not from before the start was taken.
+        index: Discovery's version number of the current list; 0 without a list.
+        lists_received: How many lists were applied, from any call.
+        first_list_received: Set once a list other than the cached one was applied.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         lease: ListLease,
         unix_offset: Callable[[], float],
     ) -> None:
-        """Create a receiver; `unix_offset` gives the seconds by which Unix time is ahead of the loop's clock."""
+        """Create a receiver; `unix_offset` returns Unix time minus the loop's time in seconds."""
         self.loop = loop
         self.host = host
         self.log = log
@@ -50,23 +50,24 @@
         self.parser = EndpointParser(settings.zones, self.table.endpoints, log, self._to_loop_time)
 
     def receive(self, message: Any, lists_received_at_call: int, cached: bool = False) -> bool:
-        """Take one list.
+        """Apply one list.
 
-        An answer may have been overtaken by another call's, and a snapshot of before would make a draining server
-        ready again. So a list with an earlier index counts only if none was received since it was called for:
-        then discovery has begun to count anew.
+        The list of another call may have arrived in the meantime, and an outdated snapshot would make a
+        draining server ready again. A list with a lower index is therefore applied only if no list was
+        received since its call was made: in that case discovery has restarted its index.
 
         Args:
             message: The decoded list.
-            lists_received_at_call: `lists_received` when the call that brought it was made.
+            lists_received_at_call: Value of `lists_received` when the call for this list was made.
             cached: Whether the list is from before the start.
 
         Returns:
-            Whether it was taken; False if it was overtaken.
+            Whether the list was applied; False if it was superseded.
 
         Raises:
-            InvalidField: It is no list.
-            MissedChanges: It holds changes to a list before the one in hand; a snapshot has to be called for.
+            InvalidField: The message is not a valid list.
+            MissedChanges: The message contains changes to a list older than the current one; a snapshot is
+                needed.
         """
         index = require_integer(message, wire_names.LIST_INDEX)
         snapshot = require(message, wire_names.LIST_IS_SNAPSHOT, bool)
@@ -80,13 +81,13 @@
         self.index = index
         self.lists_received += 1
         self.host.call_router(self.table.apply, updates, snapshot, cached)
-        self.table.forget_gone()
+        self.table.remove_expired()
         if not cached:
             self.first_list_received.set()
         return True
 
     def request_snapshot(self) -> None:
-        """Have the next watch bring a whole list in place of changes."""
+        """Make the next watch request a complete list instead of changes."""
         self.index = 0
 
     def _parse_records(self, records: list[Any]) -> list[EndpointUpdate]:
@@ -116,10 +117,11 @@
         )
 
     def _to_loop_time(self, unix_started_at: float) -> float:
-        """Convert a server's start to the loop's clock.
+        """Convert a server's start time from Unix time to the loop's clock.
 
-        If the wall clock is stepped between a start and its listing, a server that is still warming up could look
-        old. A start that the last confirmed list did not have is not much older than that confirmation.
+        If the wall clock is stepped between the start and the listing, a server that is still warming up
+        could seem to have started long ago. The result is therefore limited: a server that was not in the
+        last confirmed list cannot have started much earlier than that list was confirmed.
         """
         started_at = min(unix_started_at - self.unix_offset(), self.loop.now())
         return max(started_at, self.lease.confirmed_at - MAX_LISTING_DELAY)
--- a/stepsail/platform/endpoint_records.py
+++ b/stepsail/platform/endpoint_records.py
@@ -1,6 +1,6 @@
-"""The records of servers in discovery's lists: their types, and the parser that checks each one.
+"""Parses and validates the server records in discovery's lists.
 
-No I/O; records that cannot be used are logged.
+The module does no I/O other than logging invalid records.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from stepsail.settings.model import Address
 
 MAX_LISTING_DELAY = 5.0  # s from a server's start to its first listing
-MAX_ZONES = 1000  # zones that get a number; a record with a further one is invalid
-LARGEST_BUILD_OR_CELL = 65535
+MAX_ZONES = 1000  # zones that get a number; a record with any further zone is invalid
+MAX_BUILD_OR_CELL = 65535
 DEFAULT_CELL = 0
 DEFAULT_WEIGHT = 1.0
 MAX_LOGGED_RECORD = 200  # characters
@@ -27,16 +27,16 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A server as it was last listed.
+    """A server as described by its last record.
 
     Attributes:
-        address: Where it accepts connections.
-        zone: Number of its zone.
-        state: Whether it is ready, draining or gone.
-        started_at: When it started, in seconds on the loop's clock; 0 for long ago.
-        build: Number of the build that it runs.
-        unix_started_at: The start in seconds of Unix time, as discovery had it.
-        gone_at: When it went, in seconds on the loop's clock.
+        address: Address at which the server accepts connections.
+        zone: Number of the server's zone.
+        state: Whether the server is ready, draining or gone.
+        started_at: Start time in seconds on the loop's clock; 0 for long ago.
+        build: Number of the build that the server runs.
+        unix_started_at: Start time in seconds of Unix time, as listed by discovery.
+        gone_at: When the server became gone, in seconds on the loop's clock.
     """
 
     address: Address
@@ -49,19 +49,19 @@
 
     @property
     def identity(self) -> tuple[object, ...]:
-        """What connections to the server, and attempts chosen for it, depend on: when it changes, they are stale."""
+        """The properties whose change makes connections to the server, and attempts assigned to it, stale."""
         return self.address, self.state, self.started_at, self.build
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """What a list has of one server.
+    """The update of one server that a list contains.
 
     Attributes:
-        name: The server's name, by which the router knows it.
-        endpoint: Its new record.
-        cell: Deduplication cell that it belongs to.
-        weight: Its capacity relative to the others'.
+        name: The server's name, which identifies it to the router.
+        endpoint: The server as the list describes it.
+        cell: Number of the server's deduplication cell.
+        weight: The server's capacity relative to that of the other servers.
     """
 
     name: bytes
@@ -71,7 +71,7 @@
 
 
 class EndpointParser:
-    """Parses records; zones are numbered in the order of the settings, then of their first appearance."""
+    """Parses records; numbers zones in the order of the settings, then in the order of their first record."""
 
     def __init__(
         self,
@@ -83,10 +83,10 @@
         """Create a parser.
 
         Args:
-            zones: Zones of the settings.
-            endpoints: The servers that were listed before.
-            log: Where invalid records are reported.
-            to_loop_time: Converts a start in Unix time to the loop's clock.
+            zones: Names of the zones in the settings.
+            endpoints: The servers that have been listed so far.
+            log: The log that invalid records are reported to.
+            to_loop_time: Converts a start time from Unix time to the loop's clock.
         """
         self.zone_numbers = {name: number for number, name in enumerate(zones)}
         self.endpoints = endpoints
@@ -94,10 +94,11 @@
         self.to_loop_time = to_loop_time
 
     def parse(self, record: Any) -> EndpointUpdate | None:
-        """Parse one record; None if there is nothing to update.
+        """Parse one record; return None if it updates no server.
 
-        An invalid record does not invalidate its list, whose other records may hold drains: a known server with one
-        counts as draining until a valid record comes, and a record without a name is ignored.
+        An invalid record does not invalidate the whole list, whose other records may report draining servers.
+        A listed server with an invalid record counts as draining until a valid record arrives. A record
+        without a name is ignored.
         """
         name = record.get(wire_names.ENDPOINT_NAME) if isinstance(record, dict) else None
         if not isinstance(name, str) or not name:
@@ -109,24 +110,24 @@
             self.log.warning(
                 "endpoint_invalid", server=name[:MAX_LOGGED_NAME], error=str(error)[:MAX_LOGGED_RECORD]
             )
-            return self._draining(name.encode())
+            return self._draining_update(name.encode())
 
     def _parse_fields(self, name: bytes, record: dict[str, Any]) -> EndpointUpdate:
-        state = self._state(record)
+        state = self._parse_state(record)
         unix_started_at = require_number(record, wire_names.ENDPOINT_STARTED_AT) / 1000.0
         address = parse_address(record.get(wire_names.ENDPOINT_ADDRESS), wire_names.ENDPOINT_ADDRESS)
-        build = require_integer(record, wire_names.ENDPOINT_BUILD, LARGEST_BUILD_OR_CELL)
+        build = require_integer(record, wire_names.ENDPOINT_BUILD, MAX_BUILD_OR_CELL)
         zone = self._zone_number(require(record, wire_names.ENDPOINT_ZONE, str))
-        started_at = self._started_at(name, unix_started_at)
+        started_at = self._convert_start(name, unix_started_at)
         return EndpointUpdate(
             name=name,
             endpoint=Endpoint(address, zone, state, started_at, build, unix_started_at),
-            cell=require_integer(record, wire_names.ENDPOINT_CELL, LARGEST_BUILD_OR_CELL),
+            cell=require_integer(record, wire_names.ENDPOINT_CELL, MAX_BUILD_OR_CELL),
             weight=require_number(record, wire_names.ENDPOINT_WEIGHT),
         )
 
     @staticmethod
-    def _state(record: dict[str, Any]) -> EndpointState:
+    def _parse_state(record: dict[str, Any]) -> EndpointState:
         state = require(record, wire_names.ENDPOINT_STATE, str)
         if state not in wire_names.ENDPOINT_STATES:
             raise InvalidField(
@@ -136,28 +137,28 @@
 
     def _zone_number(self, name: str) -> int:
         if name not in self.zone_numbers and len(self.zone_numbers) >= MAX_ZONES:
-            raise InvalidField(wire_names.ENDPOINT_ZONE, f"one of the {MAX_ZONES} zones known already", name)
+            raise InvalidField(wire_names.ENDPOINT_ZONE, f"one of the {MAX_ZONES} zones seen so far", name)
         return self.zone_numbers.setdefault(name, len(self.zone_numbers))
 
-    def _started_at(self, name: bytes, unix_started_at: float) -> float:
-        """Convert a start once, when it is first listed: the wall clock may be stepped at any time."""
+    def _convert_start(self, name: bytes, unix_started_at: float) -> float:
+        """Convert a start time only when it is first listed, as the wall clock may be stepped at any time."""
         if not unix_started_at:
             return 0.0
-        known = self.endpoints.get(name)
-        if known is not None and known.unix_started_at == unix_started_at:
-            return known.started_at
+        previous = self.endpoints.get(name)
+        if previous is not None and previous.unix_started_at == unix_started_at:
+            return previous.started_at
         return self.to_loop_time(unix_started_at)
 
-    def _draining(self, name: bytes) -> EndpointUpdate | None:
-        known = self.endpoints.get(name)
-        if known is None:
+    def _draining_update(self, name: bytes) -> EndpointUpdate | None:
+        previous = self.endpoints.get(name)
+        if previous is None:
             return None
         draining = Endpoint(
-            address=known.address,
-            zone=known.zone,
+            address=previous.address,
+            zone=previous.zone,
             state=EndpointState.DRAINING,
-            started_at=known.started_at,
-            build=known.build,
-            unix_started_at=known.unix_started_at,
+            started_at=previous.started_at,
+            build=previous.build,
+            unix_started_at=previous.unix_started_at,
         )
         return EndpointUpdate(name, draining, DEFAULT_CELL, DEFAULT_WEIGHT)
--- a/stepsail/platform/endpoint_table.py
+++ b/stepsail/platform/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The servers of the newest endpoint list, and the calls that tell the router of them."""
+"""Stores the servers of the current endpoint list and reports them to the router."""
 
 from __future__ import annotations
 
@@ -10,31 +10,30 @@
 from stepsail.proxy.decision_host import DecisionHost
 from stepsail.settings.model import Address
 
-GONE_ENDPOINT_TTL = (
-    30.0  # s after which a server that is gone is forgotten; its late results have come by then
-)
+# s after which a server that is gone is removed; late results of its attempts have arrived by then.
+GONE_ENDPOINT_TTL = 30.0
 
 
 class EndpointTable:
-    """The servers by name. `on_stale_connections` is called with a server whose connections are of no more use."""
+    """The servers by name; `on_stale_connections` is called for a server whose connections are unusable."""
 
     def __init__(self, loop: Loop, host: DecisionHost) -> None:
         self.loop = loop
         self.host = host
         self.endpoints: dict[bytes, Endpoint] = {}
-        self.on_stale_connections: Callable[[bytes], None] = _ignore
+        self.on_stale_connections: Callable[[bytes], None] = _do_nothing
 
-    def location(self, name: bytes) -> tuple[Address, object]:
-        """Return a server's address, and its identity, which changes when attempts chosen for it are stale."""
+    def locate(self, name: bytes) -> tuple[Address, object]:
+        """Return a server's address and identity; attempts assigned under another identity are stale."""
         endpoint = self.endpoints[name]
         return endpoint.address, endpoint.identity
 
     def apply(self, updates: Iterable[EndpointUpdate], snapshot: bool, cached: bool) -> None:
-        """Update the router by one list, all under one reading of the clock.
+        """Apply the updates of one list and report them to the router, all with the same clock reading.
 
         Args:
-            updates: The list's records.
-            snapshot: Whether servers without a record are gone.
+            updates: The updates that the list contains.
+            snapshot: Whether the list is complete, so that servers without a record are gone.
             cached: Whether the list is from before the start.
         """
         updates = list(updates)
@@ -44,8 +43,8 @@
             self._apply_update(update)
         self.host.router.endpoint_list_received(snapshot, cached)
 
-    def forget_gone(self) -> None:
-        """Drop servers that went long ago, here and in the host, so that ever new names take no memory."""
+    def remove_expired(self) -> None:
+        """Remove servers that are long gone, here and in the host, so that memory use stays bounded."""
         gone_before = self.loop.now() - GONE_ENDPOINT_TTL
         expired = [
             name
@@ -85,5 +84,5 @@
         )
 
 
-def _ignore(name: bytes) -> None:
-    """Do nothing: nobody has connections to servers yet."""
+def _do_nothing(name: bytes) -> None:
+    """Do nothing, as there are no connections to servers yet."""
--- a/stepsail/platform/endpoint_watch.py
+++ b/stepsail/platform/endpoint_watch.py
@@ -1,8 +1,8 @@
-"""The watch on the endpoint list: one open call after the other, each bringing a list and then its changes.
+"""Keeps a watch on the endpoint list, by a series of calls that each deliver a list and then its changes.
 
-A watch whose events cease is replaced fast enough that a list is in hand before what was missed counts as known,
-6 s after the last event (`decisions.list_lease`): silence, one failed call and a second one take 2.5 + 1.5 + 1.5 s.
-Where it takes longer the lease expires.
+The changes that are missed when a watch falls silent count as known to the instance 6 s after the last event
+(`decisions.list_lease`). The watch is replaced within that time: the silence timeout, one failed call and a
+second call take 2.5 + 1.5 + 1.5 s. If no list has arrived by then, the lease expires.
 """
 
 from __future__ import annotations
@@ -20,44 +20,44 @@
 from stepsail.proxy.decision_host import DecisionHost, Logger
 from stepsail.proxy.json_client import CallError
 
-SILENCE_TIMEOUT = 2.5  # s without an event after which a watch is given up; keep-alives come every 2 s
+SILENCE_TIMEOUT = 2.5  # s without an event after which a watch is closed; keep-alives arrive every 2 s
 MIN_WATCH_INTERVAL = 0.3  # s between the starts of two watches
 MAX_LOGGED_ERROR = 200  # characters
-MAX_LOGGED_FAULT = 500  # characters
+MAX_LOGGED_CRASH = 500  # characters
 
 
 @dataclass(frozen=True, slots=True)
 class CallBudget:
-    """How a watch is called for.
+    """Limits of the calls that open a watch.
 
     Attributes:
-        calls: Calls that may fail, one right after the other, before one is delayed by the pacing.
-        list_timeout: Seconds from each call until its list has to be in hand.
+        calls: How many consecutive calls may fail before the next one is delayed by the pacing.
+        list_timeout: Seconds from the start of each call within which its list has to arrive.
     """
 
     calls: int
     list_timeout: float
 
 
-# Many instances may call at once, and are answered in turn.
-USUAL_BUDGET = CallBudget(calls=1, list_timeout=3.0)
-# The silence before has used up a part of the lease already.
+# Many instances may call at the same time, and discovery answers them one after the other.
+DEFAULT_BUDGET = CallBudget(calls=1, list_timeout=3.0)
+# The silence of the previous watch has already used up a part of the lease.
 REPLACEMENT_BUDGET = CallBudget(calls=2, list_timeout=1.5)
 
 
 @dataclass(slots=True)
 class Watch:
-    """The progress of one watch.
+    """The state of one watch.
 
     Attributes:
         called_at: When the call was made.
-        requested_index: Index of the list in hand at the call.
-        lists_received: How many lists had been received, by any call, when this watch last brought one.
-        last_event_at: When the last event came, a list or a keep-alive.
-        connected: Whether discovery had accepted the connection.
-        established: Whether it has brought a list, so that its keep-alives confirm the list in hand.
-        only_keep_alives: Whether keep-alives came, and no list.
-        ended_by_peer: Whether discovery closed or reset it, in place of falling silent.
+        requested_index: Index of the current list when the call was made.
+        lists_received: How many lists had been received, from any call, when this watch last delivered one.
+        last_event_at: When the last event, a list or a keep-alive, arrived.
+        connected: Whether discovery accepted the connection.
+        established: Whether the watch has delivered a list, so that its keep-alives confirm the current list.
+        only_keep_alives: Whether the watch has delivered keep-alives but no list.
+        ended_by_peer: Whether discovery closed or reset the watch, rather than falling silent.
     """
 
     called_at: float
@@ -71,7 +71,7 @@
 
 
 class EndpointWatcher:
-    """Keeps a watch open. `task` is None before the first start."""
+    """Keeps a watch open; `task` is None before the first start."""
 
     def __init__(
         self,
@@ -93,13 +93,13 @@
         self.task: Task | None = None
 
     def start(self) -> None:
-        """Watch from now on; does nothing while a watch is kept open."""
+        """Start to keep a watch open; do nothing if one is kept open already."""
         if self.task is None or self.task.done:
             delay = 0.0 if self.receiver.first_list_received.is_set else self.pacing.start_delay()
-            self._spawn(USUAL_BUDGET, delay)
+            self._spawn(DEFAULT_BUDGET, delay)
 
     def restart(self) -> None:
-        """End the watch and call for another one at once, as discovery has a new address."""
+        """Close the watch and open another one at once, as discovery has a new address."""
         if self.task:
             self.task.cancel()
         self._spawn(REPLACEMENT_BUDGET, 0.0)
@@ -108,16 +108,16 @@
         self.task = self.loop.spawn(self._run, budget, delay, name="discovery")
 
     def _run(self, budget: CallBudget, delay: float) -> None:
-        """Open one watch after the other until cancelled, each from the index that the last one came to."""
+        """Open one watch after another until cancelled, each at the index that the previous one reached."""
         self.loop.sleep(delay)
         calls_left = budget.calls
         while True:
             started_at = self.loop.now()
-            watch = self._run_one(budget.list_timeout)
+            watch = self._run_watch(budget.list_timeout)
             if watch.established:
                 self.pacing.succeeded()
-                # One that discovery ended has cost no time, so that the next call may wait for its turn.
-                budget = USUAL_BUDGET if watch.ended_by_peer else REPLACEMENT_BUDGET
+                # A watch that discovery closed ended without a silence: there is time for the usual timeout.
+                budget = DEFAULT_BUDGET if watch.ended_by_peer else REPLACEMENT_BUDGET
                 calls_left = budget.calls
             else:
                 self.lease.record_failed_call()
@@ -128,11 +128,11 @@
             self.host.call_router(self.host.router.endpoint_poll_failed)
             failure = CallFailure.classify(watch.connected, self.loop.now() - watch.called_at)
             self.loop.sleep(self.pacing.next_delay(failure))
-            budget = USUAL_BUDGET
+            budget = DEFAULT_BUDGET
             calls_left = budget.calls
 
-    def _run_one(self, list_timeout: float) -> Watch:
-        """Run one watch until it ends."""
+    def _run_watch(self, list_timeout: float) -> Watch:
+        """Run one watch until it ends, and return its state."""
         now = self.loop.now()
         watch = Watch(now, self.receiver.index, self.receiver.lists_received, last_event_at=now)
         try:
@@ -140,7 +140,7 @@
                 self._receive_events(watch, response, list_timeout)
         except (CallError, PlatformError) as error:
             self._record_end(watch, error)
-        except Exception as error:  # a fault of this program must not leave the list as it is for ever
+        except Exception as error:  # a bug here must not leave the list outdated for ever
             self._report_crash(error)
         finally:
             if watch.established:
@@ -154,15 +154,15 @@
             self._handle_event(watch, message, response.received_at)
 
     def _handle_event(self, watch: Watch, message: Any, received_at: float) -> None:
-        """Take a list, or a keep-alive, which confirms the list in hand once the watch has brought one."""
+        """Handle a list, or a keep-alive, which confirms the current list once the watch is established."""
         watch.last_event_at = self.loop.now()
         if message is None and not watch.established:
             watch.only_keep_alives = True
             return
         if message is not None:
-            taken = self.receiver.receive(message, watch.lists_received)
+            applied = self.receiver.receive(message, watch.lists_received)
             watch.lists_received = self.receiver.lists_received
-            if not taken:
+            if not applied:
                 return
         if watch.established:
             self.lease.confirm(received_at, by_watch=True)
@@ -170,7 +170,7 @@
             self._establish(watch)
 
     def _establish(self, watch: Watch) -> None:
-        # The first list may have waited to be sent for as long as the call took.
+        # Discovery may have created the first list at any time since the call was made.
         self.lease.confirm(watch.called_at, by_watch=True)
         watch.established = True
         watch.only_keep_alives = False
@@ -181,14 +181,13 @@
         )
 
     def _report_crash(self, error: Exception) -> None:
-        self.log.error("watch_crashed", error=repr(error)[:MAX_LOGGED_FAULT])
+        self.log.error("watch_crashed", error=repr(error)[:MAX_LOGGED_CRASH])
 
     def _record_end(self, watch: Watch, error: Exception) -> None:
         watch.connected = not isinstance(error, CallError) or error.may_have_run
         watch.ended_by_peer = self.loop.now() < watch.last_event_at + SILENCE_TIMEOUT
-        if (
-            watch.only_keep_alives
-        ):  # it waits for a change, and no list is in hand: the next one calls for all
+        # Discovery waits for a change, and the watch has delivered no list: the next one requests a snapshot.
+        if watch.only_keep_alives:
             self.receiver.request_snapshot()
         self.log.warning(
             "watch_ended",
--- a/stepsail/platform/errors.py
+++ b/stepsail/platform/errors.py
@@ -1,21 +1,21 @@
-"""The errors of this package: what the platform or a client sent cannot be used."""
+"""Errors of this package, for invalid input from the platform or from clients."""
 
 from __future__ import annotations
 
-MAX_SHOWN_CHARACTERS = 60  # of a wrong value in an error's message
+MAX_SHOWN_CHARACTERS = 60  # of an invalid value in an error message
 
 
 class PlatformError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class InvalidField(PlatformError):
-    """A field of a JSON message is missing, of another type, or out of its bounds.
+    """A field of a JSON message is missing, has the wrong type or is out of range.
 
     Attributes:
         field: Name of the field.
-        expected: What the protocol has there.
-        found: The value that came instead; None for a missing field.
+        expected: Description of a valid value.
+        found: The invalid value; None for a missing field.
     """
 
     def __init__(self, field: str, expected: str, found: object) -> None:
@@ -26,15 +26,15 @@
 
 
 class InvalidJson(PlatformError):
-    """A stream carries bytes that are no JSON, or a value beyond the size limit."""
+    """A stream contains bytes that are not JSON, or a value that exceeds the size limit."""
 
 
 class MissedChanges(PlatformError):
-    """Discovery sent changes to a list older than the one in hand, so that what lies between is unknown.
+    """Discovery sent changes to a list older than the current one, so that changes in between are unknown.
 
     Attributes:
         index: Index of the changes.
-        current_index: Index of the list in hand.
+        current_index: Index of the current list.
     """
 
     def __init__(self, index: int, current_index: int) -> None:
@@ -44,11 +44,11 @@
 
 
 class InvalidConfiguration(PlatformError):
-    """The configuration cannot be read or used.
+    """The configuration is unreadable or invalid.
 
     Attributes:
-        source: The file, or the environment variable, at fault.
-        reason: What is wrong with it.
+        source: The file or environment variable that is missing or invalid.
+        reason: Description of the error.
     """
 
     def __init__(self, source: str, reason: str) -> None:
@@ -58,11 +58,11 @@
 
 
 class InvalidRequest(PlatformError):
-    """A request that is answered at once and never reaches the router.
+    """A request is invalid: it gets an error response at once and never reaches the router.
 
     Attributes:
-        status: HTTP status of the answer.
-        reason: Text of the answer.
+        status: HTTP status of the response.
+        reason: Text of the response.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -72,7 +72,7 @@
 
 
 def describe(value: object) -> str:
-    """Show a value in an error's message: short ones themselves, containers by their type."""
+    """Format a value for an error message: a scalar as its shortened text, a container as its type's name."""
     if value is None:
         return "nothing"
     if isinstance(value, str):
--- a/stepsail/platform/json_fields.py
+++ b/stepsail/platform/json_fields.py
@@ -1,4 +1,4 @@
-"""Access to the fields of decoded JSON messages; every accessor checks what it returns."""
+"""Reads fields of decoded JSON messages; every function validates the value that it returns."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from stepsail.platform.errors import InvalidField
 
-LARGEST_EXACT_INTEGER = 2**53  # the largest whole number that every JSON reader keeps exact
-LARGEST_NUMBER = 1e15
-ADDRESS_EXAMPLE = "an address such as 10.0.0.4:7070"
+MAX_EXACT_INTEGER = 2**53  # up to this, every JSON parser represents whole numbers exactly
+MAX_NUMBER = 1e15
+EXPECTED_ADDRESS = "an address such as 10.0.0.4:7070"
 MAX_OCTET = 255
 MAX_PORT = 65535
 IPV4_OCTETS = 4
@@ -16,23 +16,23 @@
 FieldType = TypeVar("FieldType")
 
 
-def require(message: Any, field: str, kind: type[FieldType]) -> FieldType:
-    """Return a field of exactly one type; True is no integer and 1 is no boolean.
+def require(message: Any, field: str, expected_type: type[FieldType]) -> FieldType:
+    """Return a field of the expected type; True is not accepted as an integer, nor 1 as a boolean.
 
     Raises:
-        InvalidField: The message is no object, or the field is missing or of another type.
+        InvalidField: The message is not an object, or the field is missing or has another type.
     """
     value = _get(message, field)
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise InvalidField(field, kind.__name__, value)
+    if not isinstance(value, expected_type) or (isinstance(value, bool) and expected_type is not bool):
+        raise InvalidField(field, expected_type.__name__, value)
     return value
 
 
-def require_number(message: Any, field: str, minimum: float = 0.0, maximum: float = LARGEST_NUMBER) -> float:
-    """Return a number within its bounds.
+def require_number(message: Any, field: str, minimum: float = 0.0, maximum: float = MAX_NUMBER) -> float:
+    """Return a number within its range.
 
     Raises:
-        InvalidField: The field is missing, no number, or out of bounds.
+        InvalidField: The field is missing, not a number, or out of range.
     """
     value = _get(message, field)
     if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
@@ -40,11 +40,11 @@
     return float(value)
 
 
-def require_integer(message: Any, field: str, maximum: int = LARGEST_EXACT_INTEGER) -> int:
-    """Return a whole number from 0 to `maximum`; 3.0 counts as 3.
+def require_integer(message: Any, field: str, maximum: int = MAX_EXACT_INTEGER) -> int:
+    """Return a whole number from 0 to `maximum`; 3.0 is accepted as 3.
 
     Raises:
-        InvalidField: The field is missing, no whole number, or out of bounds.
+        InvalidField: The field is missing, not a whole number, or out of range.
     """
     value = require_number(message, field, 0, maximum)
     if value != int(value):
@@ -56,7 +56,7 @@
     """Parse `host:port` with an IPv4 host.
 
     Raises:
-        InvalidField: The value is anything else.
+        InvalidField: The value does not have this form.
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     octets = host.split(".")
@@ -64,7 +64,7 @@
         octet.isdecimal() and int(octet) <= MAX_OCTET for octet in octets
     )
     if not host_is_valid or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise InvalidField(field, ADDRESS_EXAMPLE, text)
+        raise InvalidField(field, EXPECTED_ADDRESS, text)
     return host, int(port)
 
 
--- a/stepsail/platform/json_log.py
+++ b/stepsail/platform/json_log.py
@@ -1,8 +1,8 @@
-"""A log of JSON lines on standard error, rate-limited so that a burst of faults costs clients no time.
+"""Logs JSON lines to standard error, rate-limited so that a burst of errors does not delay clients.
 
-There are two limits, so that lines about single requests never crowd out those about the state of the instance:
-`info`, `warning` and `error` share the first, `debug` has the second. Dropped lines are counted, and the count goes
-out with the next line under the same limit.
+There are two limits, so that lines about single requests never displace those about the state of the
+instance: `info`, `warning` and `error` share the first, `debug` has the second. Dropped lines are counted,
+and the next line under the same limit contains the count.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 
 class LineRateLimit:
-    """A token bucket over log lines that counts what it drops."""
+    """A token bucket that limits the rate of log lines and counts the dropped ones."""
 
     def __init__(self, per_second: float, burst: float, now: float) -> None:
         self.per_second = per_second
         self.burst = burst
         self.tokens = burst
-        self.filled_at = now
+        self.refilled_at = now
         self.dropped = 0
 
-    def take(self, now: float, always: bool) -> bool:
-        """Whether a line may be written at `now`; with `always` it may in any case."""
-        self.tokens = min(self.burst, self.tokens + (now - self.filled_at) * self.per_second)
-        self.filled_at = now
+    def try_take(self, now: float, always: bool) -> bool:
+        """Return whether a line may be written at `now`; with `always`, it may even without a token."""
+        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.per_second)
+        self.refilled_at = now
         if self.tokens < 1 and not always:
             self.dropped += 1
             return False
@@ -41,14 +41,14 @@
         return True
 
     def take_dropped(self) -> int:
-        """How many lines were dropped since the last call."""
+        """Return how many lines were dropped since the last call, and reset the count."""
         dropped = self.dropped
         self.dropped = 0
         return dropped
 
 
 class JsonLog:
-    """Implements `proxy.decision_host.Logger`; `now` is the clock that lines are stamped by."""
+    """Implements `proxy.decision_host.Logger`; `now` is the clock for the timestamps of lines."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
@@ -56,7 +56,7 @@
         self.request_limit = LineRateLimit(REQUEST_LINES_PER_SECOND, REQUEST_LINES_BURST, now())
 
     def debug(self, event: str, **fields: Any) -> None:
-        """Log what happened to one request."""
+        """Log an event of one request."""
         self._log(self.request_limit, "debug", event, fields)
 
     def info(self, event: str, **fields: Any) -> None:
@@ -64,16 +64,16 @@
         self._log(self.state_limit, "info", event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Log a fault outside this process."""
+        """Log an error whose cause is outside this process."""
         self._log(self.state_limit, "warning", event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Log a fault of this program; never dropped."""
+        """Log an error of this program; the line is never dropped by the rate limit."""
         self._log(self.state_limit, "error", event, fields)
 
     def _log(self, limit: LineRateLimit, level: str, event: str, fields: dict[str, Any]) -> None:
         now = self.now()
-        if not limit.take(now, always=level == "error"):
+        if not limit.try_take(now, always=level == "error"):
             return
         line = {"at": round(now, 3), "level": level, "event": event, **fields}
         if limit.dropped:
@@ -83,10 +83,10 @@
 
     @staticmethod
     def _write(line: bytes) -> bool:
-        """Write a line; False if not all of it could be written.
+        """Write a line; return False if it could not be written completely.
 
-        A full disk or a reader that has gone must not cost a request its answer, nor the process its exit code, so
-        nothing is raised and nothing is buffered.
+        A full disk or a closed pipe must not prevent the response to a request or change the exit code of the
+        process. The method therefore raises no error and buffers nothing.
         """
         try:
             while line:
--- a/stepsail/platform/json_stream.py
+++ b/stepsail/platform/json_stream.py
@@ -1,7 +1,8 @@
-"""Splits a stream of bytes into JSON values (RFC 8259), however they are cut into reads and lines. No I/O.
+"""Splits a stream of bytes into JSON values (RFC 8259), wherever reads and line breaks divide them.
 
-A JSON string holds no bare line break, so each line holds whole strings only. With those removed, a value ends where
-as many brackets have been closed as were opened: one line may hold a value, a part of one, or several.
+A JSON string contains no unescaped line break, so no string extends over several lines. Outside of strings, a
+value ends where as many brackets have been closed as were opened. A line may contain one value, a part of
+one, or several. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,26 +17,27 @@
 from stepsail.platform.errors import InvalidJson
 
 STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
-KEEP_ALIVE: dict[str, Any] = {}  # what an empty line between two values is read as; compare by identity
+KEEP_ALIVE: dict[str, Any] = {}  # the value of an empty line between two values; compare by identity
 CLOSING_BRACKETS = (b"}", b"]")
 
 
 class JsonValueStream:
-    """An incremental parser: `feed` it bytes, take whole values with `next`."""
+    """An incremental parser: `feed` adds bytes, `next` returns complete values."""
 
     def __init__(self, max_value_bytes: int) -> None:
         self.max_value_bytes = max_value_bytes
-        self.value_lines = bytearray()  # the whole lines of a value that has not ended
+        self.value_lines = bytearray()  # the complete lines of a value that has not ended
         self.partial_line = b""
         self.open_brackets = 0  # at the end of `value_lines`
         self.values: deque[Any] = deque()
         self.decoder = JSONDecoder()
 
     def feed(self, data: bytes) -> None:
-        """Take in further bytes.
+        """Parse further bytes.
 
         Raises:
-            InvalidJson: The stream is no JSON, or a value is too large. Nothing further can be read then.
+            InvalidJson: The stream is not valid JSON, or a value is too large; the parser can no longer be
+                used.
         """
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
@@ -45,16 +47,16 @@
             raise InvalidJson(f"expected values of at most {self.max_value_bytes} bytes, found a larger one")
 
     def next(self) -> Any | None:
-        """Return the next whole value, KEEP_ALIVE for an empty line, or None if there is none yet."""
+        """Return the next complete value, KEEP_ALIVE for an empty line, or None if there is neither yet."""
         return self.values.popleft() if self.values else None
 
     @property
     def has_partial_value(self) -> bool:
-        """Whether a value has begun and not ended."""
+        """Whether a value has begun that is not complete yet."""
         return bool(self.value_lines.strip() or self.partial_line.strip())
 
     def _feed_unterminated_value(self) -> None:
-        """Read a value that ends without a line break, which would otherwise wait for the next one."""
+        """Parse a value without a line break after it, which would otherwise wait for the next line break."""
         if not self.partial_line.rstrip().endswith(CLOSING_BRACKETS):
             return
         balance = self._bracket_balance(self.partial_line)
@@ -69,18 +71,18 @@
             return
         balance = self._bracket_balance(line)
         if balance is None:
-            raise InvalidJson("expected a string to end on its line, found an open one")
+            raise InvalidJson("expected strings to end on the same line, found an unterminated one")
         self.value_lines += line
         self.open_brackets += balance
         if self.open_brackets < 0:
-            raise InvalidJson("expected balanced brackets, found more closed than opened")
+            raise InvalidJson("expected balanced brackets, found more closing than opening ones")
         if not self.open_brackets:
             self._decode(bytes(self.value_lines))
             self.value_lines.clear()
 
     @staticmethod
     def _bracket_balance(line: bytes) -> int | None:
-        """Count brackets opened less brackets closed; None where a string does not end on the line."""
+        """Return opening minus closing brackets on the line; None if a string does not end on it."""
         without_strings = STRING.sub(b"", line)
         if b'"' in without_strings:
             return None
@@ -95,7 +97,7 @@
             self._decode_several(data)
 
     def _decode_several(self, data: bytes) -> None:
-        """Decode values that share a line."""
+        """Decode several values on one line."""
         try:
             text = data.decode().strip()
             position = 0
@@ -103,5 +105,5 @@
                 value, position = self.decoder.raw_decode(text, position)
                 self.values.append(value)
                 position += len(text[position:]) - len(text[position:].lstrip())
-        except (ValueError, RecursionError) as error:  # no JSON, no UTF-8, or nested too deeply
+        except (ValueError, RecursionError) as error:  # invalid JSON, invalid UTF-8, or too deeply nested
             raise InvalidJson(str(error)) from None
--- a/stepsail/platform/release_control.py
+++ b/stepsail/platform/release_control.py
@@ -1,4 +1,4 @@
-"""Release control over the platform's protocol: events on an open stream, and one call for each vote."""
+"""Receives release control's events over an open stream and sends it votes, each in a call of its own."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from stepsail.proxy.json_client import CallError
 from stepsail.settings.model import Address, InstanceSettings
 
-FIRST_EVENT_TIMEOUT = 3.0  # s until the stream stands; the state is its first event
-SILENCE_TIMEOUT = 4.0  # s without an event after which the stream is given up; keep-alives come every second
-MAX_OPEN_VOTES = 4  # votes whose answers are awaited; a further one fails without a call
-LARGEST_BUILD = 65535
-LARGEST_STAGE = 255
+FIRST_EVENT_TIMEOUT = 3.0  # s until the response begins; the release state is the first event of the stream
+SILENCE_TIMEOUT = 4.0  # s without an event after which the stream is closed; keep-alives arrive every second
+MAX_OPEN_VOTES = 4  # votes waiting for their responses; a further vote fails without a call
+MAX_BUILD = 65535
+MAX_STAGE = 255
 MAX_LOGGED_ERROR = 200  # characters
 
 
@@ -31,9 +31,9 @@
     """Passes release control's events to the router, and the router's votes to release control.
 
     Attributes:
-        address: Where release control is called; replaced by `set_address`.
-        open_votes: Votes whose answers are awaited.
-        states_received: Release states that came as events.
+        address: Current address of release control; `set_address` changes it.
+        open_votes: Number of votes waiting for their responses.
+        states_received: Number of release states received as events.
     """
 
     def __init__(
@@ -56,11 +56,11 @@
         self.task: Task | None = None
 
     def start(self) -> None:
-        """Receive events from now on."""
+        """Start to receive events."""
         self.task = self.loop.spawn(self._receive_events, name="events")
 
     def set_address(self, address: Address) -> None:
-        """A new configuration was read. If the address has changed, events are received from there."""
+        """Apply the address from a new configuration; if it differs, receive events from there."""
         if address == self.address:
             return
         self.address = address
@@ -72,7 +72,7 @@
         """Pass the state of the newest build to the router.
 
         Raises:
-            InvalidField: The message is no such state.
+            InvalidField: The message is not a valid release state.
         """
         phase_name = require(message, wire_names.RELEASE_PHASE, str)
         phase = wire_names.PHASES.get(phase_name)
@@ -82,13 +82,13 @@
             self.host.router.release_state_received,
             require_number(message, wire_names.RELEASE_AGE) / 1000.0,
             require_number(message, wire_names.RELEASE_EXPOSURE_LIMIT, 0.0, 1.0),
-            require_integer(message, wire_names.RELEASE_BUILD, LARGEST_BUILD),
-            require_integer(message, wire_names.RELEASE_STAGE, LARGEST_STAGE),
+            require_integer(message, wire_names.RELEASE_BUILD, MAX_BUILD),
+            require_integer(message, wire_names.RELEASE_STAGE, MAX_STAGE),
             phase,
         )
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Send a vote; the router is told of its receipt."""
+        """Send a vote in the background and report its receipt to the router."""
         self.loop.spawn(self._vote, build, stage, verdict, name="vote")
 
     def _receive_events(self) -> None:
@@ -109,19 +109,19 @@
             self.loop.sleep(backoff.next_delay())
 
     def _handle_event(self, event: Any) -> None:
-        kind = require(event, wire_names.EVENT_TYPE, str)
+        event_type = require(event, wire_names.EVENT_TYPE, str)
         body = require(event, wire_names.EVENT_BODY, dict)
-        if kind == wire_names.RELEASE_STATE_EVENT:
+        if event_type == wire_names.RELEASE_STATE_EVENT:
             self.states_received += 1
             self.release_state_received(body)
-        elif kind == wire_names.RELEASE_COUNTS_EVENT:
+        elif event_type == wire_names.RELEASE_COUNTS_EVENT:
             self._handle_counts(body)
-        elif kind == wire_names.ANSWER_DISPUTED_EVENT:
+        elif event_type == wire_names.ANSWER_DISPUTED_EVENT:
             self._handle_dispute(body)
 
     def _handle_counts(self, body: dict[str, Any]) -> None:
         class_index = self._class_index(body)
-        build = require_integer(body, wire_names.RELEASE_BUILD, LARGEST_BUILD)
+        build = require_integer(body, wire_names.RELEASE_BUILD, MAX_BUILD)
         count = require_integer(body, wire_names.RELEASE_COUNT)
         failed = require_integer(body, wire_names.RELEASE_FAILED)
         mean = require_number(body, wire_names.RELEASE_MEAN) / 1000.0
@@ -139,7 +139,7 @@
             self.host.call_router(server.answer_disputed, class_index, age)
 
     def _class_index(self, body: dict[str, Any]) -> int | None:
-        """Look a request class up by its name; None for one that is not in the settings."""
+        """Return a request class's index by its name; None if the settings have no such class."""
         name = require(body, wire_names.RELEASE_CLASS, str)
         class_names = self.settings.class_names
         return class_names.index(name) if name in class_names else None
@@ -165,29 +165,29 @@
         }
         states_before = self.states_received
         address = self.address
-        answer = call(
+        response = call(
             self.loop, address, b"POST", wire_names.VOTES_PATH, vote, self.settings.router.vote_timeout
         )
-        overtaken = (states_before, address) != (self.states_received, self.address)
+        superseded = (states_before, address) != (self.states_received, self.address)
         try:
-            return self._read_receipt(answer, overtaken)
+            return self._read_receipt(response, superseded)
         except (msgspec.DecodeError, InvalidField):
             return VoteReceipt.UNKNOWN
 
-    def _read_receipt(self, answer: Response, overtaken: bool) -> VoteReceipt:
-        """Read what became of a vote; an answer that does not fit its status leaves that open.
+    def _read_receipt(self, response: Response, superseded: bool) -> VoteReceipt:
+        """Derive a vote's receipt from the response; it is unknown if the body does not match the status.
 
-        The answer to a vote that counted holds the release's state as well, which is passed on unless an event, or a
-        change of address, has overtaken it.
+        The response to a counted vote also contains the release state. It is passed to the router unless it
+        was superseded by an event or a change of address.
         """
-        body = msgspec.json.decode(answer.body)
-        if answer.status == HTTPStatus.OK:
-            if overtaken:
+        body = msgspec.json.decode(response.body)
+        if response.status == HTTPStatus.OK:
+            if superseded:
                 require(body, wire_names.RELEASE_PHASE, str)
             else:
                 self.release_state_received(body)
             return VoteReceipt.COUNTED
-        error = wire_names.VOTE_ERRORS.get(answer.status)
+        error = wire_names.VOTE_ERRORS.get(response.status)
         if error is None or require(body, wire_names.VOTE_ERROR, str) != error:
             return VoteReceipt.UNKNOWN
-        return wire_names.VOTE_RECEIPTS[answer.status]
+        return wire_names.VOTE_RECEIPTS[response.status]
--- a/stepsail/platform/streaming_response.py
+++ b/stepsail/platform/streaming_response.py
@@ -1,4 +1,4 @@
-"""Calls to discovery and release control: with one answer, or one that stays open and brings JSON messages."""
+"""Makes calls to discovery and release control, with a complete response or a stream of JSON messages."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 )
 from stepsail.settings.model import Address
 
-STREAM_BOUNDS = ConnectionLimits(body_bytes=1 << 60, buffered_bytes=0, allow_until_close=False)
-ANSWER_BOUNDS = ConnectionLimits(body_bytes=MAX_RESPONSE_BYTES, allow_until_close=False)
+STREAM_LIMITS = ConnectionLimits(body_bytes=1 << 60, buffered_bytes=0, allow_until_close=False)
+RESPONSE_LIMITS = ConnectionLimits(body_bytes=MAX_RESPONSE_BYTES, allow_until_close=False)
 
 
 def call(loop: Loop, address: Address, method: bytes, target: bytes, body: Any, timeout: float) -> Response:
-    """Make one call on a connection of its own, so that a failure tells best whether it was carried out.
+    """Make one call on a new connection, so that a failure shows most clearly whether the call was executed.
 
     Raises:
-        CallError: No answer that can be read came in time.
+        CallError: No valid response arrived in time.
     """
     deadline = loop.now() + timeout
     progress = Progress()
     connection = None
     try:
-        connection = _connect(loop, address, deadline, ANSWER_BOUNDS)
+        connection = _connect(loop, address, deadline, RESPONSE_LIMITS)
         return connection.exchange(encode_json_request(address, method, target, body), deadline, progress)
     except (OSError, TimedOut, Closed, InvalidMessage) as error:
         fully_sent = 0 < progress.total <= progress.written
@@ -44,32 +44,32 @@
             connection.close()
 
 
-def _connect(loop: Loop, address: Address, deadline: float, bounds: ConnectionLimits) -> ClientConnection:
+def _connect(loop: Loop, address: Address, deadline: float, limits: ConnectionLimits) -> ClientConnection:
     timeout = max(0.0, min(CONNECT_TIMEOUT, deadline - loop.now()))
-    return ClientConnection(loop, Stream.connect(loop, address, timeout), bounds)
+    return ClientConnection(loop, Stream.connect(loop, address, timeout), limits)
 
 
-def _require_stream(answer: Response) -> BodyStream:
-    if answer.status != HTTPStatus.OK or answer.body_stream is None:
-        ending = "ends" if answer.body_stream is None else "stays open"
+def _require_stream(response: Response) -> BodyStream:
+    if response.status != HTTPStatus.OK or response.body_stream is None:
+        body_kind = "complete" if response.body_stream is None else "streaming"
         raise CallError(
-            f"expected status 200 and a body that stays open, found {answer.status} and one that {ending}"
+            f"expected status 200 and a streaming body, found status {response.status} and a {body_kind} body"
         )
-    return answer.body_stream
+    return response.body_stream
 
 
 class StreamingResponse:
-    """An answer that stays open and brings JSON messages; anything unreadable ends it. A context manager.
+    """A response that streams JSON messages until the first invalid one; usable as a context manager.
 
     Attributes:
-        received_at: Earliest time at which the message that `next_message` returned last may have come in.
+        received_at: Earliest time at which the last message that `next_message` returned may have arrived.
     """
 
     def __init__(self, loop: Loop, address: Address, target: bytes, timeout: float) -> None:
-        """Make the call and wait for the head of its answer.
+        """Make the call and wait for the head of the response.
 
         Raises:
-            CallError: None came in time, or it does not stay open.
+            CallError: No response arrived in time, or it is not a stream.
         """
         self.loop = loop
         self.messages = JsonValueStream(MAX_RESPONSE_BYTES)
@@ -77,12 +77,12 @@
         self.received_at = loop.now()
         self.connection: ClientConnection | None = None
         try:
-            self.connection = _connect(loop, address, deadline, STREAM_BOUNDS)
-            answer = self.connection.exchange(
+            self.connection = _connect(loop, address, deadline, STREAM_LIMITS)
+            response = self.connection.exchange(
                 encode_json_request(address, b"GET", target, None), deadline, Progress()
             )
-            self.flow = _require_stream(answer)
-            self.messages.feed(answer.body)
+            self.body_stream = _require_stream(response)
+            self.messages.feed(response.body)
         except InvalidJson as error:
             self.close()
             raise CallError(str(error)) from None
@@ -104,15 +104,16 @@
     def next_message(self, timeout: float) -> Any:
         """Return the next message; None for a keep-alive.
 
-        The timeout is for the whole message, so that one that trickles in does not count as a sign of life.
+        The timeout applies to the whole message, so that a message that arrives byte by byte does not prolong
+        it.
 
         Raises:
-            CallError: The answer ended, cannot be read, or brought nothing whole in time.
+            CallError: The response ended, is invalid, or delivered no complete message in time.
         """
         deadline = self.loop.now() + timeout
         try:
             while (message := self.messages.next()) is None:
-                data = self.flow.read_part(max(0.0, deadline - self.loop.now()))
+                data = self.body_stream.read_part(max(0.0, deadline - self.loop.now()))
                 if not data:
                     raise CallError("expected a message, found the end of the stream")
                 if not self.messages.has_partial_value:
@@ -128,6 +129,6 @@
             self.connection.close()
 
     def _data_received_at(self) -> float:
-        """Estimate when the data just read came in: it may have lain unread while this process stood still."""
+        """Estimate when the last data arrived; it may have been buffered while the process was suspended."""
         assert self.connection
         return self.loop.now() - (self.connection.stream.seconds_since_receive() or self.loop.unread_age())
--- a/stepsail/platform/upstream_protocol.py
+++ b/stepsail/platform/upstream_protocol.py
@@ -1,4 +1,4 @@
-"""Requests to servers in the platform's protocol, and the outcome of each attempt. No I/O."""
+"""Encodes requests to servers in the platform's protocol and classifies outcomes, without I/O."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from stepsail.settings.model import Address
 
 FORWARDED_HEADERS = (wire_names.REQUEST_ID_HEADER, wire_names.IDEMPOTENCY_KEY_HEADER)
-MISSING_VALUE = -1.0  # of a column that a load report lacks
-LOAD_VALUE_LIMIT = 1e9  # a load report with a value from here on is invalid
+MISSING_VALUE = -1.0  # of a column that is missing in a load report
+LOAD_VALUE_LIMIT = 1e9  # a load report with a value of at least this is invalid
 OUTCOME_OF_UNSENT_REQUEST = {
     ExchangeEnd.NOT_STARTED: AttemptOutcome.NOT_SENT,
     ExchangeEnd.CANCELLED: AttemptOutcome.NOT_SENT,
@@ -35,36 +35,38 @@
 }
 
 
-def is_client_error(answer: Response) -> bool:
-    """Whether the server cannot use the request itself, so that no other server is asked.
+def is_client_error(response: Response) -> bool:
+    """Return whether the response says that the request is invalid, so that no other server is tried.
 
-    Sent on, a bad client's request fails at one server after the other, and its errors count against good builds.
-    A server that alone misreads a request makes this one fail in vain.
+    A retry of an invalid request would fail at one server after the other, and the errors would count against
+    good builds. The drawback: if only one server misinterprets a valid request, the request fails needlessly.
     """
-    return HTTPStatus.BAD_REQUEST <= answer.status < HTTPStatus.INTERNAL_SERVER_ERROR
+    return HTTPStatus.BAD_REQUEST <= response.status < HTTPStatus.INTERNAL_SERVER_ERROR
 
 
-def outcome(end: ExchangeEnd, fully_sent: bool, answer: Response | None) -> AttemptOutcome:
-    """Judge how an attempt ended.
+def classify_exchange(end: ExchangeEnd, fully_sent: bool, response: Response | None) -> AttemptOutcome:
+    """Return the outcome of an attempt.
 
-    A server begins a request at its last byte: one that broke before never ran, one that broke after may have. An
-    answer that cannot be read is an error and no lost connection, as the server is there. Only a 503 or 504 that
-    says so never ran, and only a 200 with a body, after the whole request was sent, is served. A 4xx says nothing of
-    the server or its build: it ends as if the request had not been sent.
+    A server starts to run a request when it has received the last byte: a request that broke off earlier
+    never ran, and one that broke off later may have run. An invalid response counts as a failure rather than
+    as a lost connection, as the server is reachable. Only a 503 or 504 with the header for it means that the
+    request was rejected and did not run. Only a 200 with a body, after the whole request was sent, counts as
+    served. A 4xx is no evidence about the server or its build: the attempt ends as if the request had not
+    been sent.
     """
-    if end is ExchangeEnd.COMPLETED and answer is not None:
-        return _outcome_of_answer(fully_sent, answer)
+    if end is ExchangeEnd.COMPLETED and response is not None:
+        return _outcome_of_response(fully_sent, response)
     outcomes = OUTCOME_OF_SENT_REQUEST if fully_sent else OUTCOME_OF_UNSENT_REQUEST
     return outcomes[ExchangeEnd.CONNECTION_BROKEN if end is ExchangeEnd.COMPLETED else end]
 
 
-def _outcome_of_answer(fully_sent: bool, answer: Response) -> AttemptOutcome:
-    if is_client_error(answer):
+def _outcome_of_response(fully_sent: bool, response: Response) -> AttemptOutcome:
+    if is_client_error(response):
         return AttemptOutcome.NOT_SENT
-    is_unavailable = answer.status in (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
-    if is_unavailable and answer.header(wire_names.REJECTED_HEADER) == b"1":
+    is_unavailable = response.status in (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+    if is_unavailable and response.header(wire_names.REJECTED_HEADER) == b"1":
         return AttemptOutcome.REJECTED
-    if answer.status == HTTPStatus.OK and answer.body and fully_sent:
+    if response.status == HTTPStatus.OK and response.body and fully_sent:
         return AttemptOutcome.SERVED
     return AttemptOutcome.FAILED
 
@@ -72,8 +74,8 @@
 class PlatformUpstreamProtocol:
     """Implements `proxy.upstream_protocol.UpstreamProtocol`.
 
-    A request is written anew from its method, target, body, id and idempotency key; no other header of the client's
-    reaches a server.
+    A forwarded request consists of the method, target, body, request ID and idempotency key of the client's
+    request; no other header of the client is forwarded.
     """
 
     def __init__(
@@ -85,13 +87,13 @@
         self.settings = settings
         self.locate = locate
         self.load_reports = load_reports
-        # A body that lasts until the close cannot be told from one that was cut off.
+        # A body that is delimited by the end of the connection cannot be distinguished from a truncated one.
         self.bounds = ConnectionLimits(
             settings.max_head_bytes, settings.max_body_bytes, allow_until_close=False
         )
 
     def encode_attempt(self, request: Request, server: bytes, time_left: float) -> bytes:
-        """Encode a request that its client still waits `time_left` seconds for."""
+        """Encode a request whose client waits for `time_left` more seconds."""
         headers = [
             (b"host", wire_names.SERVICE_HOST),
             *(header for header in request.headers if header[0] in FORWARDED_HEADERS),
@@ -102,22 +104,22 @@
     def classify_outcome(
         self, end: ExchangeEnd, progress: Progress, response: Response | None
     ) -> AttemptOutcome:
-        """Judge how an attempt ended."""
+        """Return the outcome to report to the router for an attempt."""
         fully_sent = 0 < progress.total <= progress.written
-        return outcome(end, fully_sent, response)
+        return classify_exchange(end, fully_sent, response)
 
     def is_client_error(self, response: Response) -> bool:
-        """Whether the server cannot use the request itself, so that no other one will."""
+        """Return whether the response says that the request is invalid, so that no server would accept it."""
         return is_client_error(response)
 
     def load_report(self, response: Response) -> tuple[float, ...]:
-        """Read the load report in an answer's header; empty if there is none."""
+        """Return the load report in a response's header; empty without one."""
         if not self.load_reports:
             return ()
         return self._load_values(response.header(wire_names.LOAD_REPORT_HEADER) or b"")
 
     def response_headers(self, response: Response, server: bytes) -> Headers:
-        """Return the headers of a served answer that its client gets: none."""
+        """Return no headers: none of a served response is sent to the client."""
         return []
 
     def encode_health_check(self, server: bytes) -> bytes:
@@ -126,13 +128,13 @@
         return encode_request(b"GET", path, [(b"host", wire_names.SERVICE_HOST)])
 
     def health_check_report(self, response: Response) -> tuple[float, ...]:
-        """Read the load report in a health check's answer, from its body or its header."""
+        """Return the load report in the body or else the header of the response to a health check."""
         if not self.load_reports:
             return ()
         return self._load_values(response.body) or self.load_report(response)
 
     def _load_values(self, text: bytes) -> tuple[float, ...]:
-        """Read a load report's values by the columns of the settings; empty unless all are there and valid."""
+        """Return a report's values in the order of the settings' columns; empty unless all are valid."""
         reported = orca_values(text)
         values = tuple(_column_value(reported, column) for column in self.settings.router.load_report_columns)
         return values if all(0.0 <= value < LOAD_VALUE_LIMIT for value in values) else ()
--- a/stepsail/platform/wire_names.py
+++ b/stepsail/platform/wire_names.py
@@ -1,48 +1,47 @@
-"""The platform's names for paths, headers, fields and values, and what the code calls them.
+"""Constants for the paths, headers, fields and values of the platform's protocol, grouped by counterpart.
 
-They are part of the platform's protocol: the names in the code may change, the values never do. Grouped by the
-counterpart that uses them.
+The values are defined by the platform and must not change; the names of the constants may.
 """
 
 from __future__ import annotations
 
 from stepsail.decisions.interface import EndpointState, ReleasePhase, Verdict, VoteReceipt
 
-# Environment of the process
+# Environment variables
 CONFIGURATION_VARIABLE = "PROXY_CONFIG"  # path of the configuration file
-LISTEN_VARIABLE = "PROXY_LISTEN"  # address for clients; goes before the file's
+LISTEN_VARIABLE = "PROXY_LISTEN"  # listen address for clients; overrides the one in the configuration file
 
 # Configuration file
 CONFIG_SETTINGS = "settings"  # the flat settings, as a nested object
-CONFIG_LISTEN = "listen"  # address for clients
+CONFIG_LISTEN = "listen"  # listen address for clients
 CONFIG_DISCOVERY = "discovery"  # address of endpoint discovery
-CONFIG_RELEASE_CONTROL = "deployer"  # object with the address of release control and its state
+CONFIG_RELEASE_CONTROL = "deployer"  # object with release control's address and the release state
 CONFIG_RELEASE_CONTROL_ADDRESS = "address"
-CONFIG_RELEASE_STATE = "news"  # state of the newest build at the start
+CONFIG_RELEASE_STATE = "news"  # release state of the newest build at the start
 CONFIG_CACHED_LIST = "known"  # endpoint list from before the start
 CONFIG_SEED = "seed"  # hexadecimal
 CONFIG_LIMITS = "limits"
-CONFIG_SOCKET_LIMIT = "sockets"  # file descriptors that the process may have open
+CONFIG_SOCKET_LIMIT = "sockets"  # maximum number of open file descriptors of the process
 
 # Clients
 HEALTH_PATH = b"/_health"
 REQUEST_ID_HEADER = b"x-call-id"
-TIME_LEFT_HEADER = b"x-budget-ms"  # milliseconds that the client, or this instance, still waits
-RETRY_HEADER = b"x-again"  # present on a request that was sent before
+TIME_LEFT_HEADER = b"x-budget-ms"  # milliseconds that the sender, a client or this instance, still waits
+RETRY_HEADER = b"x-again"  # present on a client's retry
 IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
 TENANT_HEADER = b"x-caller"  # name of a tenant
-INFO_HEADER = b"x-call-info"  # further values as `name=value,name=value`
-INFO_KEY = "NameKey"  # in INFO_HEADER: key of what the request is about
-INFO_TENANT = "UserGroup"  # in INFO_HEADER: index of a tenant
-KEY_PARAMETER = b"obj"  # query parameter: what the request is about
+INFO_HEADER = b"x-call-info"  # additional values as `name=value,name=value`
+INFO_KEY = "NameKey"  # in INFO_HEADER: key of the object that the request concerns, a number
+INFO_TENANT = "UserGroup"  # in INFO_HEADER: index of the tenant
+KEY_PARAMETER = b"obj"  # query parameter: key of the object that the request concerns
 
 # Servers
 SERVICE_HOST = b"service.internal"  # value of the host header
 LOAD_REPORT_HEADER = b"x-load-report"
-REJECTED_HEADER = b"x-rejected"  # 1: the server has not run the request
+REJECTED_HEADER = b"x-rejected"  # value 1: the server has not run the request
 PING_PATH = b"/ping"
 LOAD_PATH = b"/_load"
-LOAD_REPORT_FIELDS = {  # column of the settings -> names that servers report it by, the first one goes before
+LOAD_REPORT_FIELDS = {  # column in the settings -> its names in load reports, in order of preference
     "q": ("queue", "q"),
     "rif": ("inflight", "rif"),
     "busy": ("util", "busy"),
@@ -53,14 +52,14 @@
 
 # Endpoint discovery
 ENDPOINTS_PATH = b"/catalog/members"
-WATCH_PATH = b"/catalog/members?stream=1&index=%d"  # %d: index of the list in hand
-LIST_INDEX = "index"  # version of a list; grows with every change
-LIST_IS_SNAPSHOT = "snapshot"  # whether a list is complete, or holds changes only
+WATCH_PATH = b"/catalog/members?stream=1&index=%d"  # %d: index of the current list
+LIST_INDEX = "index"  # version of a list; increases with every change
+LIST_IS_SNAPSHOT = "snapshot"  # whether a list is complete; otherwise it contains only changes
 LIST_ENDPOINTS = "endpoints"
 ENDPOINT_NAME = "name"
 ENDPOINT_ADDRESS = "address"
 ENDPOINT_STATE = "status"
-ENDPOINT_STARTED_AT = "since_ms"  # Unix time in milliseconds; 0: long ago
+ENDPOINT_STARTED_AT = "since_ms"  # Unix time in milliseconds; 0 means long ago
 ENDPOINT_BUILD = "revision_no"
 ENDPOINT_ZONE = "zone"
 ENDPOINT_CELL = "group"
@@ -80,7 +79,7 @@
 RELEASE_COUNTS_EVENT = "SAMPLE"
 ANSWER_DISPUTED_EVENT = "DISPUTE"
 RELEASE_PHASE = "phase"
-RELEASE_AGE = "age_ms"  # milliseconds since the reported fact
+RELEASE_AGE = "age_ms"  # age of the reported information in milliseconds
 RELEASE_EXPOSURE_LIMIT = "cap"
 RELEASE_BUILD = "build"
 RELEASE_STAGE = "stage"
@@ -103,14 +102,14 @@
     "live": ReleasePhase.RELEASED,
     "recalled": ReleasePhase.WITHDRAWN,
 }
-VOTE_RECEIPTS = {  # by the HTTP status of the answer
+VOTE_RECEIPTS = {  # by the HTTP status of the response
     200: VoteReceipt.COUNTED,
     429: VoteReceipt.RATE_LIMITED,
     409: VoteReceipt.OUTDATED,
     500: VoteReceipt.ERROR,
     400: VoteReceipt.ERROR,
 }
-VOTE_ERRORS = {  # the error that an answer with this status has to name
+VOTE_ERRORS = {  # error name that the body of a response with this status must contain
     429: "Throttling",
     409: "ConditionFailed",
     500: "InternalFailure",
--- a/tests/endings/test_any_order.py
+++ b/tests/endings/test_any_order.py
@@ -18,7 +18,7 @@
 import msgspec
 import pytest
 from platform_configuration import SETTINGS, write_configuration
-from platform_rig import ScriptedService, endpoint_record, request
+from platform_rig import ScriptedService, encode_client_request, endpoint_record
 from rig import ScriptedServer
 
 from stepsail.http import Request, ServerConnection, encode_response
@@ -111,7 +111,9 @@
             client = self.random.choice(free)
             self.marks += 1
             client.mark = f"m{self.marks}"
-            data = request(client.mark, left=LEFT, body=self.random.choice((b"", b"{}")))
+            data = encode_client_request(
+                client.mark, time_left_ms=LEFT, body=self.random.choice((b"", b"{}"))
+            )
             cut = self.random.choice((len(data), len(data), self.random.randrange(1, len(data))))
             client.rest = data[cut:]
             self.send(client, data[:cut])
--- a/tests/endings/test_clients.py
+++ b/tests/endings/test_clients.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from platform_rig import PlatformRig, raw_client, read_all, request
+from platform_rig import PlatformRig, encode_client_request, raw_client, read_all
 from rig import Rig, ScriptedServer, answers, hangs, hangs_up
 
 from stepsail.http import ClientConnection, Request, ServerConnection
@@ -25,7 +25,7 @@
 def test_client_that_closed_behind_its_request_gets_no_attempt(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
-        client.sendall(request("g1"))
+        client.sendall(encode_client_request("g1"))
         client.close()
         rig.wait_until(lambda: rig.application.host.final_answers[FinalAnswer.CANCELLED_BY_CLIENT])
         rig.loop.sleep(0.05)
@@ -50,11 +50,11 @@
         client = raw_client(rig)
         monkeypatch.setattr(UpstreamPool, "acquire", connection)
         leaving.append(client)
-        client.sendall(request("c1"))
+        client.sendall(encode_client_request("c1"))
         rig.wait_until(lambda: rig.application.host.final_answers[FinalAnswer.CANCELLED_BY_CLIENT])
         rig.loop.sleep(0.05)
         assert not rig.servers[0].seen and not rig.application.host.in_flight
-        assert rig.ask(mark="c2").status == 200
+        assert rig.send_request(request_id="c2").status == 200
 
     PlatformRig(tmp_path, test, [answers()])
 
@@ -71,7 +71,7 @@
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
         clients.append(client)
-        client.sendall(request("f1"))
+        client.sendall(encode_client_request("f1"))
         rig.wait_until(lambda: rig.application.host.final_answers[FinalAnswer.CANCELLED_BY_CLIENT])
         rig.loop.sleep(0.05)
         assert sum(len(server.seen) for server in rig.servers) == 1 and not rig.application.host.in_flight
@@ -89,7 +89,7 @@
                 raw_client(rig),
                 rig.application.host.final_answers[FinalAnswer.CANCELLED_BY_CLIENT],
             )
-            client.sendall(request(f"a{ahead}"))
+            client.sendall(encode_client_request(f"a{ahead}"))
             rig.wait_until(
                 lambda: any(
                     b"a%d" % ahead == r.header(b"x-call-id")  # noqa: B023
@@ -114,7 +114,7 @@
     def test(rig: PlatformRig) -> None:
         rig.application.host.router.admission.window = 0.0  # type: ignore[attr-defined]  # no room: all wait
         client = raw_client(rig)
-        client.sendall(request("w1"))
+        client.sendall(encode_client_request("w1"))
         rig.wait_until(lambda: rig.application.host.in_flight)
         client.close()
         rig.wait_until(lambda: not rig.application.host.in_flight)
@@ -129,15 +129,18 @@
 def test_request_id_stays_taken_while_an_attempt_of_a_disconnected_client_is_open(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
-        client.sendall(request("twice", body=b"{}"))
+        client.sendall(encode_client_request("twice", body=b"{}"))
         rig.wait_until(lambda: rig.servers[0].seen)
         client.close()
         rig.wait_until(lambda: rig.application.host.final_answers[FinalAnswer.CANCELLED_BY_CLIENT])
-        again = rig.ask("/record", "POST", "twice", body=b"{}", idempotency_key="k-twice")
+        again = rig.send_request("/record", "POST", "twice", body=b"{}", idempotency_key="k-twice")
         assert again.status == 409 and len(rig.servers[0].seen) == 1
         rig.wait_until(lambda: not rig.application.host.in_flight)
         rig.servers[0].script = answers(body=b"second")
-        assert rig.ask("/record", "POST", "twice", body=b"{}", idempotency_key="k-twice").body == b"second"
+        assert (
+            rig.send_request("/record", "POST", "twice", body=b"{}", idempotency_key="k-twice").body
+            == b"second"
+        )
 
     PlatformRig(tmp_path, test, [hangs(0.4)])
 
@@ -148,10 +151,10 @@
     def test(rig: PlatformRig) -> None:
         bounds, client = rig.application.listener.connection_limits, raw_client(rig)
         if kind == "idle":
-            client.sendall(request("t0"))
-            assert b"200 OK" in read_all(rig.loop, client, whole=True)
+            client.sendall(encode_client_request("t0"))
+            assert b"200 OK" in read_all(rig.loop, client, one_response=True)
             rig.wait_until(lambda: rig.application.listener.reaper.idle)
-        said = request("t1")
+        said = encode_client_request("t1")
         if kind == "pieces":
             client.sendall(said[:20])
         rig.wait_until(
@@ -162,14 +165,14 @@
         stand_still(rig, (bounds.idle_timeout if kind == "idle" else bounds.first_request_timeout) + 0.05)
         client.sendall(said[20:] if kind == "pieces" else said)
         # It may be as old as the standstill, and then it is denied for that: one answer, and not a close.
-        assert read_all(rig.loop, client, whole=True)[:12] in (b"HTTP/1.1 200", b"HTTP/1.1 503")
+        assert read_all(rig.loop, client, one_response=True)[:12] in (b"HTTP/1.1 200", b"HTTP/1.1 503")
 
     PlatformRig(tmp_path, test, [answers()])
 
 
 def test_response_arriving_as_the_attempt_times_out_is_used(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
-        response_task = rig.loop.spawn(rig.ask, "/lookup", "GET", "r1", 600, name="held")
+        response_task = rig.loop.spawn(rig.send_request, "/lookup", "GET", "r1", 600, name="held")
         rig.wait_until(lambda: rig.servers[0].seen)
         attempt = next(iter(rig.application.host.in_flight.values())).attempts[0]
         rig.wait_until(lambda: attempt.task.current_wait)
@@ -195,9 +198,11 @@
         crowd = [raw_client(rig) for _ in range(most)]
         rig.wait_until(lambda: len(listener.reaper.awaiting_first_request) == most)
         rig.loop.sleep(FIRST_BYTE_GRACE + 0.01)
-        crowd[0].sendall(request("room0"))  # the longest silent one has spoken, and its bytes lie unread
+        crowd[0].sendall(
+            encode_client_request("room0")
+        )  # the longest silent one has spoken, and its bytes lie unread
         assert listener.reaper.make_room() and listener.reaper.make_room()
-        assert b"200 OK" in read_all(rig.loop, crowd[0], whole=True)
+        assert b"200 OK" in read_all(rig.loop, crowd[0], one_response=True)
         assert read_all(rig.loop, crowd[1]) == b"" == read_all(rig.loop, crowd[2])
         for one in crowd:
             one.close()
@@ -216,7 +221,7 @@
             and all(w.connection.reader.begun for w in listener.reaper.awaiting_first_request.values())
         )
         start = rig.loop.now()
-        assert rig.ask(mark="late").status in (200, 503) and rig.loop.now() - start < 1.0
+        assert rig.send_request(request_id="late").status in (200, 503) and rig.loop.now() - start < 1.0
         assert b"HTTP/1.1 503" in read_all(rig.loop, crowd[0])
         for one in crowd:
             one.close()
--- a/tests/endings/test_lists.py
+++ b/tests/endings/test_lists.py
@@ -47,7 +47,7 @@
         rig.discovery.messages = [told, *(more[at : at + 7] for at in range(0, len(more), 7))]
         again(rig)
         heard(rig, 5)
-        assert "watch_ended" not in rig.log.events()[1:] and rig.ask().status == 200
+        assert "watch_ended" not in rig.log.events()[1:] and rig.send_request().status == 200
 
     PlatformRig(tmp_path, test, [answers()] * 2)
 
@@ -126,7 +126,7 @@
         while rig.application.discovery.receiver.index != 8:
             rig.loop.sleep(0.01)
             assert rig.loop.now() < start + TOLD - 0.3, (fickle.at, start)
-        assert rig.ask(left=300).status in (502, 503, 504) and not rig.servers[0].seen
+        assert rig.send_request(time_left_ms=300).status in (502, 503, 504) and not rig.servers[0].seen
 
     PlatformRig(tmp_path, test, [answers()])
 
@@ -155,7 +155,9 @@
         assert discovery.poll_task
         discovery.poll_task.join(3.0)
         assert (
-            discovery.receiver.index == 9 and rig.ask(left=300).status in (502, 503, 504) and not server.seen
+            discovery.receiver.index == 9
+            and rig.send_request(time_left_ms=300).status in (502, 503, 504)
+            and not server.seen
         )
 
     PlatformRig(tmp_path, test, [answers()])
@@ -184,7 +186,7 @@
             {"index": 6, "snapshot": True, "endpoints": [endpoint_record(rig.servers[0])]}
         ]
         heard(rig, 6)
-        assert rig.ask().status == 200 and not rig.servers[1].seen
+        assert rig.send_request().status == 200 and not rig.servers[1].seen
 
     PlatformRig(tmp_path, test, [answers()] * 2)
 
@@ -217,7 +219,7 @@
         while rig.application.discovery.receiver.index != 12:
             rig.loop.sleep(0.01)
             assert rig.loop.now() < returned + TOLD - 1.0, (down, rig.log)
-        assert rig.ask(left=300).status in (502, 503, 504)
+        assert rig.send_request(time_left_ms=300).status in (502, 503, 504)
 
     PlatformRig(tmp_path, test, [answers()], settings=PUSHED)
 
@@ -260,7 +262,7 @@
                 rig.loop.sleep(0.05)
                 assert rig.application.listener.state.ready or client.recv(100).startswith(b"HTTP/1.1 503")
             # Nor does a client that comes all the same have a server told by the list of before.
-            early = rig.ask(mark="early")
+            early = rig.send_request(request_id="early")
             assert rig.application.listener.state.ready or (
                 early.status == 503 and early.header(b"retry-after")
             )
@@ -285,7 +287,7 @@
         rig.loop.sleep(0.3)  # the look that was left is over
         rig.write_configuration()
         rig.wait_until(lambda: new.requests)
-        assert old.listener is not new.listener and rig.ask().status == 200
+        assert old.listener is not new.listener and rig.send_request().status == 200
 
     PlatformRig(tmp_path, test, [answers()])
 
@@ -296,7 +298,7 @@
         (tmp_path / "config.json").write_bytes(b'{"discovery": "127.0.0.1:9"}')
         rig.application.reload()
         rig.wait_until(lambda: rig.application.reload_task and rig.application.reload_task.done)
-        assert rig.log.events().count("configuration_invalid") == 10 and rig.ask().status == 200
+        assert rig.log.events().count("configuration_invalid") == 10 and rig.send_request().status == 200
         assert rig.application.discovery.address == rig.discovery.listener.address
 
     PlatformRig(tmp_path, test, [answers()])
@@ -356,6 +358,6 @@
         rig.application.discovery.set_address(fickle.listener.address)
         rig.wait_until(lambda: fickle.at)
         rig.loop.sleep(fickle.at[0] + TOLD + 0.6 - rig.loop.now())
-        assert rig.ask(left=300).status == 503 and not rig.servers[0].seen
+        assert rig.send_request(time_left_ms=300).status == 503 and not rig.servers[0].seen
 
     PlatformRig(tmp_path, test, [answers()])
--- a/tests/endings/test_servers.py
+++ b/tests/endings/test_servers.py
@@ -9,7 +9,7 @@
 
 import pytest
 from platform_configuration import SETTINGS
-from platform_rig import PlatformRig, endpoint_record, raw_client, read_all, request
+from platform_rig import PlatformRig, encode_client_request, endpoint_record, raw_client, read_all
 from rig import ScriptedServer, answers, hangs
 
 from stepsail.decisions.exposure import Exposure
@@ -42,11 +42,11 @@
             return None
 
         rig.servers[0].script = once
-        assert rig.ask("/record", "POST", "w0", body=b"{}", idempotency_key="k").status == 200
+        assert rig.send_request("/record", "POST", "w0", body=b"{}", idempotency_key="k").status == 200
         rig.loop.sleep(0.05)
         before = len(rig.servers[0].seen)
         rig.servers[0].script = hangs(9.0)
-        again = rig.ask("/record", "POST", "w1", left=300, body=b"{}", idempotency_key="k1")
+        again = rig.send_request("/record", "POST", "w1", time_left_ms=300, body=b"{}", idempotency_key="k1")
         assert again.status in (502, 504) and again.header(b"retry-after") is None
         assert len(rig.servers[0].seen) - before <= 1  # the repeat inside the label's group alone
         settled(rig)
@@ -70,7 +70,7 @@
         client = Stream.connect(rig.loop, rig.listen, 1.0)
         for at in range(40):
             mark = f"t{at}"
-            answer = rig.ask(mark=mark, stream=client)
+            answer = rig.send_request(request_id=mark, stream=client)
             assert (answer.status, answer.body) == (200, mark.encode())
             rig.loop.sleep(0.002 * (at % 8))
         settled(rig)
@@ -92,7 +92,9 @@
         rig.application.discovery.receiver.receive(
             {"index": 9, "snapshot": True, "endpoints": [endpoint_record(server)]}, 99
         )
-        answer = rig.ask("/record", "POST", "slow", left=700, body=b"{}", idempotency_key="k")
+        answer = rig.send_request(
+            "/record", "POST", "slow", time_left_ms=700, body=b"{}", idempotency_key="k"
+        )
         assert answer.status in (502, 503, 504)
         settled(rig)
         full.setblocking(False)
@@ -130,8 +132,8 @@
             return b""
 
         rig.servers[0].script = both
-        client.sendall(request("both"))
-        got = read_all(rig.loop, client, whole=True)
+        client.sendall(encode_client_request("both"))
+        got = read_all(rig.loop, client, one_response=True)
         assert got.count(b"HTTP/1.1") == 1 and (b"200 OK" in got or b" 50" in got[:14])
         rig.loop.sleep(0.1)
         client.setblocking(False)
@@ -144,14 +146,14 @@
 
 def test_server_that_moves_during_an_attempt_leaves_no_connection_count(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
-        response_task = rig.loop.spawn(rig.ask, "/lookup", "GET", "held", name="held")
+        response_task = rig.loop.spawn(rig.send_request, "/lookup", "GET", "held", name="held")
         rig.wait_until(lambda: rig.servers[0].seen)
         moved = ScriptedServer(rig.loop, answers(body=b"moved"), number=60)
         name = endpoint_record(rig.servers[0])["name"]
         rig.application.discovery.receiver.receive(
             {"index": 9, "snapshot": False, "endpoints": [endpoint_record(moved, name=name)]}, 99
         )
-        assert rig.ask(mark="new").body == b"moved"
+        assert rig.send_request(request_id="new").body == b"moved"
         response_task.join(3.0)
         rig.loop.sleep(1.1)  # a sweep
         settled(rig)
@@ -184,7 +186,7 @@
     def test(rig: PlatformRig) -> None:
         monkeypatch.setattr(UpstreamPool, "acquire", slow)
         start = rig.loop.now()
-        rig.ask(left=1000)
+        rig.send_request(time_left_ms=1000)
         times_told = [int(r.header(b"x-budget-ms") or 0) for server in rig.servers for r in server.seen]
         assert len(times_told) >= 2 and rig.loop.now() > start
         for at, left in enumerate(sorted(times_told, reverse=True), 1):
@@ -217,7 +219,9 @@
                 taken.close()
 
         serving = rig.loop.spawn(serve, name="early")
-        answer = rig.ask("/record", "POST", "early", left=400, body=b"x" * 60000, idempotency_key="k")
+        answer = rig.send_request(
+            "/record", "POST", "early", time_left_ms=400, body=b"x" * 60000, idempotency_key="k"
+        )
         assert (
             answer.body != b"too early" or answer.status == 200
         )  # all written is all that can be known of it
@@ -255,11 +259,11 @@
         handles = {s.address.decode(): s for s in router.pool.servers}  # type: ignore[attr-defined]
         router.pool.ready = [handles[endpoint_record(old)["name"]]]  # type: ignore[attr-defined]
         waits.append(endpoint_record(old)["name"])
-        first = rig.loop.spawn(rig.ask, "/lookup?obj=k", "GET", "first", name="first")
+        first = rig.loop.spawn(rig.send_request, "/lookup?obj=k", "GET", "first", name="first")
         rig.wait_until(lambda: not waits)
         router.pool.ready = [handles[endpoint_record(new)["name"]]]  # type: ignore[attr-defined]
         monkeypatch.setattr(Exposure, "may_expose", lambda *_: True)
-        assert rig.ask("/lookup?obj=k", mark="second").status == 200 and len(new.seen) == 1
+        assert rig.send_request("/lookup?obj=k", request_id="second").status == 200 and len(new.seen) == 1
         assert first.join(3.0).status == 200
         assert not old.seen and len(new.seen) == 2
 
--- a/tests/endings/test_shutdown.py
+++ b/tests/endings/test_shutdown.py
@@ -18,7 +18,7 @@
 
 import pytest
 from platform_configuration import SETTINGS, write_configuration
-from platform_rig import PlatformRig, raw_client, read_all, request
+from platform_rig import PlatformRig, encode_client_request, raw_client, read_all
 from rig import Rig, answers, hangs
 
 from stepsail.http.reader import MessageReader
@@ -35,7 +35,7 @@
         rig.application.listener.close_after_responses()
         waiting = [raw_client(rig) for _ in range(40)]
         for at, client in enumerate(waiting):
-            client.sendall(request(f"w{at}"))
+            client.sendall(encode_client_request(f"w{at}"))
         rig.application.listener.begin_shutdown()
         assert all(b"200 OK" in read_all(rig.loop, client) for client in waiting)
         with pytest.raises(ConnectionRefusedError):
@@ -58,7 +58,7 @@
         select.select([], [client], [], 1.0)
         connected = client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         if connected:
-            client.sendall(request("l1"))
+            client.sendall(encode_client_request("l1"))
         clients.append((client, connected))
         real(listener)
 
@@ -86,7 +86,7 @@
         monkeypatch.setattr(SocketPort, "stop_handshakes", refused)
         clients = [raw_client(rig) for _ in range(5)]
         for at, client in enumerate(clients):
-            client.sendall(request(f"f{at}"))
+            client.sendall(encode_client_request(f"f{at}"))
         listener = rig.application.listener
         listener.close_after_responses()
         listener.begin_shutdown()
@@ -111,7 +111,7 @@
 
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
-        client.sendall(request("n1"))
+        client.sendall(encode_client_request("n1"))
         rig.wait_until(lambda: rig.application.listener.listener.open_streams)  # type: ignore[union-attr]
         rig.application.listener.begin_shutdown()
         begin.append(True)
@@ -126,10 +126,10 @@
     def test(rig: PlatformRig) -> None:
         client, listener = raw_client(rig), rig.application.listener
         for at in range(earlier):
-            client.sendall(request(f"e{at}"))
-            assert b"200 OK" in read_all(rig.loop, client, whole=True)
+            client.sendall(encode_client_request(f"e{at}"))
+            assert b"200 OK" in read_all(rig.loop, client, one_response=True)
         rig.wait_until(lambda: listener.reaper.idle if earlier else listener.reaper.awaiting_first_request)
-        client.sendall(request("u1"))
+        client.sendall(encode_client_request("u1"))
         listener.begin_shutdown()
         assert b"200 OK" in read_all(rig.loop, client)
 
@@ -150,9 +150,9 @@
         monkeypatch.setattr(MessageReader, "feed", feed)
         client, listener = raw_client(rig), rig.application.listener
         for at in range(earlier):
-            client.sendall(request(f"e{at}"))
-            assert b"200 OK" in read_all(rig.loop, client, whole=True)
-        said = request("p1", body=b"{}")
+            client.sendall(encode_client_request(f"e{at}"))
+            assert b"200 OK" in read_all(rig.loop, client, one_response=True)
+        said = encode_client_request("p1", body=b"{}")
         client.sendall(said[:30])
         rig.wait_until(lambda: said[:30] in fed)
         listener.begin_shutdown()
@@ -166,8 +166,8 @@
 def test_idle_connection_closes_at_once_and_silent_new_one_soon(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
         quiet, silent = raw_client(rig), raw_client(rig)
-        quiet.sendall(request("q1"))
-        read_all(rig.loop, quiet, whole=True)
+        quiet.sendall(encode_client_request("q1"))
+        read_all(rig.loop, quiet, one_response=True)
         rig.wait_until(
             lambda: rig.application.listener.reaper.idle
             and rig.application.listener.reaper.awaiting_first_request
@@ -186,7 +186,7 @@
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
         rig.application.listener.close_after_responses()
-        client.sendall(request("b1"))
+        client.sendall(encode_client_request("b1"))
         rig.wait_until(lambda: rig.servers[0].seen)
         client.sendall(b"x" * 70_000)  # beyond what is taken in ahead, so that some lies unread at the close
         got = read_all(rig.loop, client)
@@ -200,7 +200,7 @@
     lanes = [dict(lane, DeadlineMs=9000.0) for lane in SETTINGS["Lanes"]]
 
     def test(rig: PlatformRig) -> None:
-        response_task = rig.loop.spawn(rig.ask, "/lookup", "GET", "long", 9000, name="held")
+        response_task = rig.loop.spawn(rig.send_request, "/lookup", "GET", "long", 9000, name="held")
         rig.wait_until(lambda: rig.servers[0].seen)
         start = rig.loop.now()
         rig.application.stop_requested.set()
@@ -213,7 +213,7 @@
 
 def test_second_sigterm_and_sigterm_during_reload_change_nothing(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
-        response_task = rig.loop.spawn(rig.ask, "/lookup", "GET", "held", name="held")
+        response_task = rig.loop.spawn(rig.send_request, "/lookup", "GET", "held", name="held")
         rig.wait_until(lambda: rig.servers[0].seen)
         (tmp_path / "config.json").write_bytes(b"{")
         rig.application.reload()
@@ -230,7 +230,7 @@
     def test(rig: Rig) -> None:
         idle, fresh = rig.plain_socket(), [rig.plain_socket() for _ in range(5)]
         idle.sendall(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n")
-        read_all(rig.loop, idle, whole=True)
+        read_all(rig.loop, idle, one_response=True)
         for client in (idle, *fresh):
             client.sendall(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n")
         rig.application.listener.begin_shutdown()
@@ -263,7 +263,7 @@
     try:
         until_ready(listen)
         idle = socket.create_connection(listen, 1.0)
-        idle.sendall(request("i1"))
+        idle.sendall(encode_client_request("i1"))
         assert idle.recv(4096).startswith(b"HTTP/1.1 503")
         one.send_signal(signal.SIGTERM)
         assert one.stderr
@@ -273,7 +273,7 @@
         os.waitid(os.P_PID, one.pid, os.WSTOPPED | os.WNOWAIT)
         clients = [idle, *(socket.create_connection(listen, 1.0) for _ in range(60))]
         for at, client in enumerate(clients):
-            client.sendall(request(f"s{at}", left=1400))
+            client.sendall(encode_client_request(f"s{at}", time_left_ms=1400))
         time.sleep(CONNECTING_CLIENTS_GRACE + 0.1)
         one.send_signal(signal.SIGCONT)
         for client in clients:
--- a/tests/incidents/test_clock_steps.py
+++ b/tests/incidents/test_clock_steps.py
@@ -80,10 +80,10 @@
             return connect(loop, to, *rest)
 
         monkeypatch.setattr(Stream, "connect", fails)
-        refused = rig.ask("/record", "POST", "r1", body=b"{}", idempotency_key="k1")
+        refused = rig.send_request("/record", "POST", "r1", body=b"{}", idempotency_key="k1")
         assert refused.status == 503 and refused.header(b"retry-after")  # nothing has run
         faults[0] = False
-        assert rig.ask("/record", "POST", "r2", body=b"{}", idempotency_key="k2").status == 200
+        assert rig.send_request("/record", "POST", "r2", body=b"{}", idempotency_key="k2").status == 200
 
     PlatformRig(tmp_path, test, [answers()])
 
@@ -124,7 +124,7 @@
 
         real = port.sock  # type: ignore[attr-defined]
         monkeypatch.setattr(port, "sock", Failing())
-        assert rig.ask(left=1400).status == 200 and not faults[0]
-        assert rig.ask(mark="b1").status == 200
+        assert rig.send_request(time_left_ms=1400).status == 200 and not faults[0]
+        assert rig.send_request(request_id="b1").status == 200
 
     PlatformRig(tmp_path, test, [answers()])
--- a/tests/incidents/test_lease_paths.py
+++ b/tests/incidents/test_lease_paths.py
@@ -42,7 +42,7 @@
 
         monkeypatch.setattr(Stream, "connect", slow)
         expire_in(rig, 0.1)
-        answer = rig.ask()
+        answer = rig.send_request()
         assert answer.status == 503 and answer.header(b"retry-after") and not rig.servers[0].seen
 
     PlatformRig(tmp_path, test, [answers()])
@@ -59,7 +59,7 @@
         ready_list(rig)
         expire_in(rig, 0.1)
         began = rig.loop.now()
-        assert rig.ask().status in (502, 503)
+        assert rig.send_request().status in (502, 503)
         assert sum(len(box.seen) for box in rig.servers) == 1 and rig.loop.now() < began + 0.4
 
     PlatformRig(tmp_path, test, [breaks_late] * 2)
@@ -70,7 +70,7 @@
         ready_list(rig)
         expire_in(rig, 0.0)
         began = rig.loop.now()
-        answer = rig.ask(mark="late")
+        answer = rig.send_request(request_id="late")
         assert (answer.status, answer.header(b"retry-after")) == (
             503,
             b"0.500",
--- a/tests/incidents/test_system_calls.py
+++ b/tests/incidents/test_system_calls.py
@@ -18,7 +18,7 @@
 import pytest
 from platform_configuration import SETTINGS, write_configuration
 from platform_rig import PlatformRig
-from platform_rig import request as client_request
+from platform_rig import encode_client_request as client_request
 from rig import ScriptedServer, answers
 
 from stepsail.http import Request, ServerConnection, encode_response
@@ -134,7 +134,7 @@
         rig.wait_until(lambda: rig.application.discovery.is_list_usable())
 
         def ask(number: int) -> Any:
-            return rig.ask(
+            return rig.send_request(
                 "/record", "POST", f"m{number}", left, None, b"x" * 300, idempotency_key=f"k{number}"
             )
 
@@ -152,7 +152,7 @@
 
 
 def spawned(rig: PlatformRig, number: int) -> Any:
-    return rig.ask("/record", "POST", f"e{number}", 900, None, b"{}", idempotency_key=f"k{number}")
+    return rig.send_request("/record", "POST", f"e{number}", 900, None, b"{}", idempotency_key=f"k{number}")
 
 
 @pytest.mark.parametrize("number", ENDING)
--- a/tests/platform/test_client_protocol.py
+++ b/tests/platform/test_client_protocol.py
@@ -1,4 +1,4 @@
-"""Requests in the platform's protocol: what they ask for, and the responses that need no server."""
+"""Tests the parsing of requests in the platform's protocol, and the responses that need no server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from platform_configuration import SETTINGS, configure, write_configuration
 
 from stepsail.http import Request, Response
-from stepsail.platform.client_protocol import PlatformClientProtocol, key_in
+from stepsail.platform.client_protocol import PlatformClientProtocol, hash_key_in_query
 from stepsail.platform.configuration import read_configuration
 from stepsail.proxy.client_protocol import ParsedRequest
 from stepsail.proxy.in_flight import InFlightRequest
@@ -30,7 +30,7 @@
 def test_request_is_parsed(tmp_path: Path) -> None:
     protocol = PlatformClientProtocol(configure(tmp_path).settings)
     assert parse(protocol, "GET", "/lookup?other=5") == ParsedRequest(0, 0.48)
-    key = key_in(b"/lookup?obj=5")
+    key = hash_key_in_query(b"/lookup?obj=5")
     assert key and parse(protocol, "GET", "/lookup?obj=5") == ParsedRequest(0, 0.48, key=key)
     assert parse(protocol, "GET", "/lookup/more", x_again="1", x_budget_ms="9000") == ParsedRequest(
         0, 1.5, is_retry=True
@@ -41,7 +41,7 @@
     assert parse(protocol, "GET", "/_health").status == 200
 
 
-INVALID: list[tuple[int, str, str, bytes, dict[str, str | None]]] = [
+INVALID_REQUESTS: list[tuple[int, str, str, bytes, dict[str, str | None]]] = [
     (404, "GET", "/nothing", b"", {}),
     (404, "GET", "/", b"", {}),
     (404, "GET", "/lookupx", b"", {}),
@@ -62,12 +62,12 @@
 ]
 
 
-@pytest.mark.parametrize(("status", "method", "target", "body", "headers"), INVALID)
+@pytest.mark.parametrize(("status", "method", "target", "body", "headers"), INVALID_REQUESTS)
 def test_invalid_request_gets_an_error_response(
     tmp_path: Path, status: int, method: str, target: str, body: bytes, headers: dict[str, str | None]
 ) -> None:
-    answer = parse(PlatformClientProtocol(configure(tmp_path).settings), method, target, body, **headers)
-    assert isinstance(answer, Response) and answer.status == status
+    response = parse(PlatformClientProtocol(configure(tmp_path).settings), method, target, body, **headers)
+    assert isinstance(response, Response) and response.status == status
 
 
 def test_open_request_id_conflicts_until_the_request_ends(tmp_path: Path) -> None:
@@ -77,7 +77,7 @@
     protocol.request_started(in_flight)
     assert parse(protocol, "GET", "/lookup").status == 409
     protocol.request_ended(in_flight)
-    assert isinstance(parse(protocol, "GET", "/lookup"), ParsedRequest) and not protocol.open_ids
+    assert isinstance(parse(protocol, "GET", "/lookup"), ParsedRequest) and not protocol.ids_in_use
 
 
 def test_rejection_has_a_fractional_retry_after_and_failure_has_none(tmp_path: Path) -> None:
@@ -117,38 +117,39 @@
         ({"x_caller": "club", "x_call_info": "UserGroup=1"}, 0),
     ],
 )
-def test_unknown_tenant_is_counted_apart_from_the_known_ones(
+def test_unknown_tenant_is_counted_separately_from_known_ones(
     tmp_path: Path, headers: dict[str, str], tenant: int
 ) -> None:
-    # Whoever was not named, or by no known number, counted as the first tenant, or as the last.
+    # Guards against counting requests without a tenant, or with an unknown one, for the first or last tenant.
     settings = read_configuration(
         write_configuration(tmp_path, settings=SETTINGS | {"Realms": TENANTS})
     ).settings
     assert parse(PlatformClientProtocol(settings), "GET", "/lookup", b"", **headers) == ParsedRequest(
         0, 0.48, tenant
     )
-    # Where there are no tenants all are alike.
+    # If the settings have no tenants, the header makes no difference.
     assert parse(
         PlatformClientProtocol(configure(tmp_path).settings), "GET", "/lookup", x_caller="club"
     ) == ParsedRequest(0, 0.48)
 
 
 def test_repeated_tenant_header_is_an_error(tmp_path: Path) -> None:
-    twice = Request(
+    request = Request(
         b"GET",
         b"/lookup",
         [(b"x-call-id", b"a"), (b"x-budget-ms", b"5"), (b"x-caller", b"club"), (b"x-caller", b"club-east")],
     )
-    answer = PlatformClientProtocol(configure(tmp_path).settings).parse_request(twice, True)
-    assert isinstance(answer, Response) and answer.status == 400
+    response = PlatformClientProtocol(configure(tmp_path).settings).parse_request(request, True)
+    assert isinstance(response, Response) and response.status == 400
 
 
 def test_key_is_read_from_the_query(tmp_path: Path) -> None:
-    # It was read from a header that no request carries, so that a key went back to an earlier build.
+    # Guards against reading the key from a header that no request has: a sticky key then went back to an
+    # earlier build.
     protocol = PlatformClientProtocol(configure(tmp_path).settings)
     keys = [
-        parse(protocol, "GET", t).key
-        for t in (
+        parse(protocol, "GET", target).key
+        for target in (
             "/lookup?obj=000dacb010809dcd",
             "/lookup?a=b&obj=000dacb010809dcd&c",
             "/lookup/more?obj=000dacb010809dce",
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file, and the limits that follow from it."""
+"""Tests the reading of the platform's configuration file and the limits derived from it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from stepsail.settings.flat_settings import flatten_json, parse_pairs, read_router_settings
 
 
-def test_text_of_the_simulator_and_object_of_the_platform_give_the_same_router_settings(
+def test_simulator_text_and_platform_object_give_equal_router_settings(
     tmp_path: Path,
 ) -> None:
     text = "\n".join(f"{path}={value}" for path, value in flatten_json(SETTINGS).items())
@@ -22,17 +22,17 @@
 
 
 def test_connection_limits_follow_from_the_socket_limit(tmp_path: Path) -> None:
-    few, many = (configure(tmp_path, limits={"sockets": n}).settings for n in (256, 1024))
-    for settings, limit in ((few, 256), (many, 1024)):
+    low, high = (configure(tmp_path, limits={"sockets": sockets}).settings for sockets in (256, 1024))
+    for settings, limit in ((low, 256), (high, 1024)):
         assert (
             limit / 3 < settings.max_client_connections
             and settings.max_client_connections + settings.max_server_connections < limit
         )
-    assert few.max_server_connections < many.max_server_connections
+    assert low.max_server_connections < high.max_server_connections
 
 
 @pytest.mark.parametrize(
-    "changed",
+    "overrides",
     [
         {"settings": []},
         {"deployer": {"address": "nowhere"}},
@@ -43,9 +43,9 @@
         {"listen": "127.0.0.1"},
     ],
 )
-def test_invalid_configuration_names_its_file(tmp_path: Path, changed: dict[str, Any]) -> None:
+def test_invalid_configuration_names_its_file(tmp_path: Path, overrides: dict[str, Any]) -> None:
     with pytest.raises(InvalidConfiguration, match=r"config\.json: "):
-        configure(tmp_path, **changed)
+        configure(tmp_path, **overrides)
 
 
 def test_missing_or_truncated_configuration_is_invalid(tmp_path: Path) -> None:
--- a/tests/platform/test_json_fields.py
+++ b/tests/platform/test_json_fields.py
@@ -1,4 +1,4 @@
-"""Fields of JSON messages."""
+"""Tests the parsing of JSON fields."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_json_log.py
+++ b/tests/platform/test_json_log.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded by two budgets, and the counts of what ended are complete."""
+"""Tests the two rate limits of log lines, and the counters of requests, attempts and connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from stepsail.proxy.counters import ConnectionClose, Counters
 
 
-def test_log_lines_about_requests_never_crowd_out_those_about_the_state(
+def test_log_lines_about_requests_never_displace_those_about_the_state(
     capfdbinary: pytest.CaptureFixture[bytes],
 ) -> None:
     now = [0.0]
@@ -33,23 +33,23 @@
 def test_each_rejection_and_close_is_counted_by_its_reason(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
         rig.application.listener.state.ready = False
-        assert rig.ask(mark="early").status == 503
+        assert rig.send_request(request_id="early").status == 503
         rig.application.listener.state.ready = True
-        assert rig.ask(mark="good").status == 200
+        assert rig.send_request(request_id="good").status == 200
         assert rig.send_raw(b"nonsense\r\n\r\n").startswith(b"HTTP/1.1 400")
         rig.wait_until(lambda: rig.application.host.counters.closes[ConnectionClose.BAD_REQUEST.name.lower()])
-        counted = rig.application.host.counters.collect_and_reset()
-        assert counted["requests"] == {RejectionReason.NOT_READY.name.lower(): 1}
-        assert counted["attempts"] == {"served": 1}
-        refused = [fields for event, fields in rig.log if event == "request_rejected"]
-        assert [(line["request"], line["reason"]) for line in refused] == [("early", "not_ready")]
+        counts = rig.application.host.counters.collect_and_reset()
+        assert counts["requests"] == {RejectionReason.NOT_READY.name.lower(): 1}
+        assert counts["attempts"] == {"served": 1}
+        rejections = [fields for event, fields in rig.log if event == "request_rejected"]
+        assert [(line["request"], line["reason"]) for line in rejections] == [("early", "not_ready")]
         assert not rig.application.host.counters.collect_and_reset()
 
     PlatformRig(tmp_path, test, [answers()])
 
 
-def test_counters_leave_out_zeros() -> None:
-    tallies = Counters()
-    assert tallies.collect_and_reset() == {}
-    tallies.closes["finished"] += 2
-    assert tallies.collect_and_reset() == {"closes": {"finished": 2}} and tallies.collect_and_reset() == {}
+def test_counters_omit_zeros() -> None:
+    counters = Counters()
+    assert counters.collect_and_reset() == {}
+    counters.closes["finished"] += 2
+    assert counters.collect_and_reset() == {"closes": {"finished": 2}} and counters.collect_and_reset() == {}
--- a/tests/platform/test_json_stream.py
+++ b/tests/platform/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON values out of pieces of a stream: whole, in order, and nothing of what is none."""
+"""Tests that a stream of JSON values is parsed completely and in order, and invalid JSON is rejected."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from stepsail.platform.json_stream import KEEP_ALIVE, JsonValueStream
 
 
-def indented(said: Any) -> bytes:
-    return msgspec.json.format(msgspec.json.encode(said), indent=2) + b"\n"
+def indented(value: Any) -> bytes:
+    return msgspec.json.format(msgspec.json.encode(value), indent=2) + b"\n"
 
 
-def values(*parts: bytes) -> list[Any]:
-    found, reader = list[Any](), JsonValueStream(1 << 16)
+def parse_all(*parts: bytes) -> list[Any]:
+    result, reader = list[Any](), JsonValueStream(1 << 16)
     for data in parts:
         reader.feed(data)
         while (value := reader.next()) is not None:
-            found.append(value)
-    return [v for v in found if v is not KEEP_ALIVE]
+            result.append(value)
+    return [value for value in result if value is not KEEP_ALIVE]
 
 
-SAID = [
+VALUES = [
     {"index": 4, "endpoints": [{"name": 'a "quoted" } { \\ name', "x": [1, 2, {"y": "]"}]}]},
     {"index": 5},
     [],
@@ -39,10 +39,15 @@
     st.booleans(),
     st.sampled_from([b"", b"\n", b"\n\n", b" ", b"\r\n"]),
 )
-def test_values_are_read_whole_however_the_stream_is_cut(cuts: list[int], wide: bool, between: bytes) -> None:
-    text = between.join((indented(v) if wide else msgspec.json.encode(v)) for v in SAID) + b"\n"
-    edges = sorted({0, len(text), *(min(c, len(text)) for c in cuts)})
-    assert values(*(text[a:b] for a, b in pairwise(edges))) == SAID
+def test_values_are_parsed_completely_wherever_the_stream_is_cut(
+    cuts: list[int], is_indented: bool, separator: bytes
+) -> None:
+    text = (
+        separator.join((indented(value) if is_indented else msgspec.json.encode(value)) for value in VALUES)
+        + b"\n"
+    )
+    offsets = sorted({0, len(text), *(min(cut, len(text)) for cut in cuts)})
+    assert parse_all(*(text[start:end] for start, end in pairwise(offsets))) == VALUES
 
 
 @pytest.mark.parametrize(
@@ -50,4 +55,4 @@
 )
 def test_invalid_json_ends_the_stream(text: bytes) -> None:
     with pytest.raises(InvalidJson):
-        values(text, b"\n\n")
+        parse_all(text, b"\n\n")
--- a/tests/platform/test_upstream_protocol.py
+++ b/tests/platform/test_upstream_protocol.py
@@ -1,4 +1,4 @@
-"""Attempts in the platform's protocol: their encoding, and the outcome of each exchange."""
+"""Tests the encoding of attempts in the platform's protocol, and the outcome of each exchange."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from stepsail.decisions.interface import AttemptOutcome
 from stepsail.http import ConnectionLimits, Request, Response
 from stepsail.http.reader import MessageReader
-from stepsail.platform.upstream_protocol import PlatformUpstreamProtocol, outcome
+from stepsail.platform.upstream_protocol import PlatformUpstreamProtocol, classify_exchange
 from stepsail.proxy.attempt_outcome import ExchangeEnd
 
-NOT_RUN = [(b"x-rejected", b"1")]
+REJECTED = [(b"x-rejected", b"1")]
 
 
 OUTCOMES = [
@@ -24,14 +24,14 @@
         False,
         Response(200, [], b"b"),
         AttemptOutcome.FAILED,
-    ),  # answered before it was asked
+    ),  # response before the request was completely sent
     (ExchangeEnd.COMPLETED, True, Response(500, []), AttemptOutcome.FAILED),
     (ExchangeEnd.COMPLETED, True, Response(400, []), AttemptOutcome.NOT_SENT),
     (ExchangeEnd.COMPLETED, True, Response(404, []), AttemptOutcome.NOT_SENT),
-    (ExchangeEnd.COMPLETED, True, Response(503, NOT_RUN), AttemptOutcome.REJECTED),
-    (ExchangeEnd.COMPLETED, True, Response(504, NOT_RUN), AttemptOutcome.REJECTED),
+    (ExchangeEnd.COMPLETED, True, Response(503, REJECTED), AttemptOutcome.REJECTED),
+    (ExchangeEnd.COMPLETED, True, Response(504, REJECTED), AttemptOutcome.REJECTED),
     (ExchangeEnd.COMPLETED, True, Response(503, []), AttemptOutcome.FAILED),
-    (ExchangeEnd.COMPLETED, True, Response(500, NOT_RUN), AttemptOutcome.FAILED),
+    (ExchangeEnd.COMPLETED, True, Response(500, REJECTED), AttemptOutcome.FAILED),
     (ExchangeEnd.CONNECT_FAILED, False, None, AttemptOutcome.CONNECT_FAILED),
     (ExchangeEnd.CONNECTION_BROKEN, False, None, AttemptOutcome.CONNECT_FAILED),
     (ExchangeEnd.CONNECTION_BROKEN, True, None, AttemptOutcome.CONNECTION_LOST),
@@ -45,11 +45,11 @@
 ]
 
 
-@pytest.mark.parametrize(("close", "all_written", "answer", "ended"), OUTCOMES)
+@pytest.mark.parametrize(("end", "fully_sent", "response", "expected"), OUTCOMES)
 def test_outcome_of_an_exchange(
-    close: ExchangeEnd, all_written: bool, answer: Response | None, ended: AttemptOutcome
+    end: ExchangeEnd, fully_sent: bool, response: Response | None, expected: AttemptOutcome
 ) -> None:
-    assert outcome(close, all_written, answer) is ended
+    assert classify_exchange(end, fully_sent, response) is expected
 
 
 def test_attempt_carries_only_the_forwarded_headers(tmp_path: Path) -> None:
--- a/tests/platform_configuration.py
+++ b/tests/platform_configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of an instance under test."""
+"""Writes the platform's configuration file for an instance under test."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 }
 
 
-def write_configuration(folder: Path, **changed: Any) -> dict[str, str]:
-    """Write a configuration file, `changed` replacing members of it; the environment that names it."""
+def write_configuration(folder: Path, **overrides: Any) -> dict[str, str]:
+    """Write a configuration file with `overrides`; return the environment variables that point to it."""
     content = {
         "name": "n1",
         "listen": "127.0.0.1:7070",
@@ -35,12 +35,12 @@
             "news": {"build": 1, "stage": 1, "phase": "live", "cap": 1, "age_ms": 0},
         },
         "settings": SETTINGS,
-    } | changed
+    } | overrides
     file = folder / "config.json"
     file.write_bytes(msgspec.json.encode(content))
     return {"PROXY_CONFIG": str(file)}
 
 
-def configure(folder: Path, **changed: Any) -> PlatformConfiguration:
-    """Write a configuration file and read it."""
-    return read_configuration(write_configuration(folder, **changed))
+def configure(folder: Path, **overrides: Any) -> PlatformConfiguration:
+    """Write a configuration file with `overrides` and read it."""
+    return read_configuration(write_configuration(folder, **overrides))
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -1,4 +1,4 @@
-"""One instance of the platform on a loop, with scripted servers, discovery and release control, all on loopback."""
+"""Runs an instance on an event loop with scripted servers, discovery and release control, all on loopback."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class ScriptedService:
-    """Discovery or release control: streams its messages on a GET, answers a POST, and records the requests."""
+    """Discovery or release control: streams messages on GET, responds to POST, and records requests."""
 
     def __init__(self, loop: Loop, *messages: Any) -> None:
         self.loop = loop
@@ -57,8 +57,8 @@
         self.loop.sleep(30.0)
 
 
-def endpoint_record(server: ScriptedServer, **changed: Any) -> dict[str, Any]:
-    """A server's record in a list of discovery; `changed` replaces its fields."""
+def endpoint_record(server: ScriptedServer, **overrides: Any) -> dict[str, Any]:
+    """Return a server's record for a list of discovery, with `overrides` in place of its fields."""
     return {
         "name": "s-" + server.address.split(":")[1],
         "address": server.address,
@@ -69,50 +69,58 @@
         "weight": 1.0,
         "since_ms": 0,
         "revision_no": 1,
-    } | changed
+    } | overrides
 
 
 def responds_with(data: bytes) -> Script:
-    """A server that answers each request with these bytes."""
+    """Return the script of a server that responds to each request with these bytes."""
     return lambda server, stream, request, connection: data
 
 
 class PlatformRig:
-    """Runs `test(rig)` beside one instance; `changed` replaces members of its configuration file."""
+    """Runs `test(rig)` with one instance; `overrides` replace members of its configuration file."""
 
     def __init__(
-        self, folder: Path, test: Callable[[PlatformRig], None], scripts: list[Script], **changed: Any
+        self, folder: Path, test: Callable[[PlatformRig], None], scripts: list[Script], **overrides: Any
     ) -> None:
         self.driver = PollDriver()
         self.log = RecordedLog()
         self.folder = folder
         self.test = test
-        self.unix_offset = 0.0  # s by which Unix time is ahead of the loop's clock
+        self.unix_offset = 0.0  # Unix time minus the loop's time, in seconds
         self.loop = Loop(self.driver, self.log._line)
         self.scripts = scripts
-        self.changed = changed
+        self.overrides = overrides
         try:
             self.loop.run(self._main)
         finally:
             self.driver.shutdown()
 
     def write_configuration(self) -> dict[str, str]:
-        """Write the configuration as it is now; the environment that names it."""
+        """Write the current configuration; return the environment variables that point to it."""
         release_control = {"address": self.release_control.address, "news": RELEASE_STATE}
         members: dict[str, Any] = {"deployer": release_control}
         return write_configuration(
             self.folder,
             listen="{}:{}".format(*self.listen),
             discovery=self.discovery.address,
-            known={"index": 1, "snapshot": True, "endpoints": [endpoint_record(b) for b in self.servers]},
-            **(members | self.changed),
+            known={
+                "index": 1,
+                "snapshot": True,
+                "endpoints": [endpoint_record(server) for server in self.servers],
+            },
+            **(members | self.overrides),
         )
 
     def _main(self) -> None:
         self.servers = [
-            ScriptedServer(self.loop, script, number=at) for at, script in enumerate(self.scripts)
+            ScriptedServer(self.loop, script, number=number) for number, script in enumerate(self.scripts)
         ]
-        snapshot = {"index": 2, "snapshot": True, "endpoints": [endpoint_record(b) for b in self.servers]}
+        snapshot = {
+            "index": 2,
+            "snapshot": True,
+            "endpoints": [endpoint_record(server) for server in self.servers],
+        }
         self.discovery = ScriptedService(self.loop, snapshot)
         self.release_control = ScriptedService(self.loop, {"type": "ROLLOUT", "object": RELEASE_STATE}, {})
         self.listen = free_address()
@@ -121,7 +129,7 @@
         self.test(self)
 
     def start(self) -> None:
-        """Start an instance by the configuration as it is now."""
+        """Start an instance with the current configuration."""
         environ = self.write_configuration()
         self.application = PlatformApplication(
             self.loop,
@@ -134,33 +142,33 @@
         self.task = self.loop.spawn(self.application.run, name="instance")
 
     def wait_until(self, condition: Callable[[], Any]) -> None:
-        """Let the loop run until a condition holds; fails after 5 s."""
-        end = self.loop.now() + 5.0
+        """Run the loop until a condition holds; fail after 5 s."""
+        deadline = self.loop.now() + 5.0
         while not condition():
-            assert self.loop.now() < end, self.log
+            assert self.loop.now() < deadline, self.log
             self.loop.sleep(0.005)
 
-    def ask(
+    def send_request(
         self,
         target: str = "/lookup",
         method: str = "GET",
-        mark: str = "a1",
-        left: int = 1000,
+        request_id: str = "a1",
+        time_left_ms: int = 1000,
         stream: Stream | None = None,
         body: bytes = b"",
-        **more: str,
+        **headers: str,
     ) -> Response:
-        """Send a request, on a connection of its own unless one is given; the response."""
+        """Send a request, on a new connection unless one is given, and return the response."""
         connection = stream or Stream.connect(self.loop, self.listen, 1.0)
-        head = [
+        all_headers = [
             (b"host", b"x"),
-            (b"x-call-id", mark.encode()),
-            (b"x-budget-ms", b"%d" % left),
-            *((name.replace("_", "-").encode(), value.encode()) for name, value in more.items()),
+            (b"x-call-id", request_id.encode()),
+            (b"x-budget-ms", b"%d" % time_left_ms),
+            *((name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()),
         ]
         try:
             return ClientConnection(self.loop, connection, ConnectionLimits()).exchange(
-                encode_request(method.encode(), target.encode(), head, body),
+                encode_request(method.encode(), target.encode(), all_headers, body),
                 self.loop.now() + 4.0,
                 Progress(),
             )
@@ -168,54 +176,59 @@
             if stream is None:
                 connection.close()
 
-    def send_raw(self, data: bytes, within: float = 3.0) -> bytes:
-        """All that comes back for raw bytes until the instance closes."""
+    def send_raw(self, data: bytes, timeout: float = 3.0) -> bytes:
+        """Send raw bytes and return all bytes received until the instance closes the connection."""
         stream = Stream.connect(self.loop, self.listen, 1.0)
-        got = b""
+        received = b""
         try:
-            with self.loop.timeout(within):
+            with self.loop.timeout(timeout):
                 stream.write(data, 2.0)
                 while part := stream.read():
-                    got += part
-                return got
+                    received += part
+                return received
         except OSError:
-            return got
+            return received
         finally:
             stream.close()
         raise AssertionError("neither answered nor closed in time")
 
 
-def request(mark: str, path: str = "/lookup", left: int = 1400, body: bytes = b"") -> bytes:
-    """A client's request as it goes over the wire."""
-    head = [(b"host", b"x"), (b"x-call-id", mark.encode()), (b"x-budget-ms", b"%d" % left)]
+def encode_client_request(
+    request_id: str, path: str = "/lookup", time_left_ms: int = 1400, body: bytes = b""
+) -> bytes:
+    """Return a client's request as bytes."""
+    headers = [(b"host", b"x"), (b"x-call-id", request_id.encode()), (b"x-budget-ms", b"%d" % time_left_ms)]
     if body:
-        head.append((b"idempotency-key", b"k-" + mark.encode()))
-    return encode_request(b"POST" if body else b"GET", (path if not body else "/record").encode(), head, body)
+        headers.append((b"idempotency-key", b"k-" + request_id.encode()))
+    return encode_request(
+        b"POST" if body else b"GET", (path if not body else "/record").encode(), headers, body
+    )
 
 
 def raw_client(rig: PlatformRig) -> socket.socket:
-    """A client outside the loop: the system takes its connection and its bytes, whatever the instance does."""
+    """Connect a client outside the loop: the kernel accepts its bytes whatever the instance does."""
     return socket.create_connection(rig.listen, 1.0)
 
 
-def read_all(loop: Loop, client: socket.socket, whole: bool = False, within: float = 3.0) -> bytes:
-    """What comes back on a plain socket, while the loop runs on: until the end, or (`whole`) for one response.
+def read_all(loop: Loop, client: socket.socket, one_response: bool = False, timeout: float = 3.0) -> bytes:
+    """Return the bytes received on a plain socket while the loop runs.
 
-    A reset is a failure of the test, as it may have taken a response with it.
+    Reads to the end of the stream or, with `one_response`, to the end of the first response. A reset fails
+    the test, as a response may have been lost with it.
     """
     client.setblocking(False)
-    got = b""
-    end = loop.now() + within
-    while loop.now() < end:
+    received = b""
+    deadline = loop.now() + timeout
+    while loop.now() < deadline:
         try:
             part = client.recv(1 << 16)
         except BlockingIOError:
             loop.sleep(0.002)
             continue
-        got += part
-        head, there, body = got.partition(b"\r\n\r\n")
+        received += part
+        head, separator, body = received.partition(b"\r\n\r\n")
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0)
-        if not part or (whole and there and len(body) >= length):
+        if not part or (one_response and separator and len(body) >= length):
             client.setblocking(True)
-            return got
-    raise AssertionError(f"neither answered nor closed: {got!r}")
+            return received
+    raise AssertionError(f"neither answered nor closed: {received!r}")
