--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -26,7 +26,7 @@
 
     how = settings(max_examples=examples, deadline=None, database=None)
     for name, run in (
-        ("http", how(given(*test_reader.ANY_BYTES)(test_reader.any_bytes))),
+        ("http", how(given(*test_reader.ANY_BYTES)(test_reader.check_any_bytes))),
         ("settings", how(given(st.text(max_size=80))(test_settings.any_line))),
     ):
         start = time.monotonic()
--- a/bench/relay/parts.py
+++ b/bench/relay/parts.py
@@ -185,7 +185,7 @@
                 if not data:
                     return
                 reader.feed(data)
-            request = reader.request_read()
+            request = reader.take_request()
             reader.reset()
             reader.feed(b"")
             far, answers = (
@@ -201,7 +201,7 @@
                 far.sendall(encode_request(request.method, request.target, end_to_end(request.headers)))
                 while not answers.complete:
                     answers.feed(far.recv(65536))
-            answer = answers.response_read()
+            answer = answers.take_response()
             idle.append((far, answers))
             sock.sendall(encode_response(answer.status, end_to_end(answer.headers), answer.body))
 
--- a/stepsail/http/__init__.py
+++ b/stepsail/http/__init__.py
@@ -1,4 +1,8 @@
-"""HTTP/1.1, both ends, on the httptools parser: strict about what proxies disagree on, and bounded."""
+"""HTTP/1.1 client and server connections, built on the httptools parser.
+
+Messages that proxies are known to interpret differently are rejected. The size of messages and the time to
+receive them are limited.
+"""
 
 from stepsail.http.client_connection import ClientConnection, Progress
 from stepsail.http.message import (
--- a/stepsail/http/client_connection.py
+++ b/stepsail/http/client_connection.py
@@ -1,4 +1,4 @@
-"""The requesting end of a connection, and how far an exchange got, from which its outcome follows."""
+"""Client side of an HTTP connection, and the progress of an exchange, from which its outcome is derived."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @dataclass(slots=True)
 class Progress:
-    """How far an exchange got.
+    """Records how much data of an exchange was transferred.
 
     Attributes:
-        written: bytes of the request that the system took.
-        whole: bytes of the request.
-        read: bytes of the response.
-        lay: seconds that the last byte of the response was here before this process read it.
+        written: Number of bytes of the request that the operating system accepted.
+        total: Number of bytes of the request; each part of a streamed body is added just before it is sent.
+        read: Number of bytes of the response that were read before `exchange` ended.
+        unread_for: Seconds that the last bytes of the response had waited until this process read them.
     """
 
     written: int = 0
@@ -35,53 +35,61 @@
 
 
 class ResponseBodyStream:
-    """The rest of a response's body. When it is done, the connection is free again."""
+    """Streams the rest of a response's body; the connection's exchange ends when the body does."""
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
-        self.begun = False
+        self.read_started = False
         self.done = False
 
-    def read_part(self, within: float) -> bytes:
-        """The next part; none at the end. Raises TimedOut, OSError, Closed, InvalidMessage."""
+    def read_part(self, timeout: float) -> bytes:
+        """Return the next part of the body, which is empty at the end.
+
+        Raises:
+            TimedOut: No bytes arrived within `timeout` seconds.
+            OSError: The connection failed.
+            Closed: The connection was closed by this process.
+            InvalidMessage: The rest of the response is invalid or truncated.
+        """
         connection = self.connection
-        self.begun = True
+        self.read_started = True
         reader = connection.reader
         while not reader.parts and not reader.complete:
-            part = connection.stream.read(within)
-            if part:
-                reader.feed(part)
+            data = connection.stream.read(timeout)
+            if data:
+                reader.feed(data)
             else:
                 reader.end()
-        taken = reader.take()
-        if not taken:
+        part = reader.take_body()
+        if not part:
             self.done = True
             connection.used_at = connection.loop.now()
             connection.end_exchange()
-        return taken
+        return part
 
 
 class ClientConnection:
-    """One connection to a server, one exchange at a time.
+    """A connection to a server that carries one exchange at a time.
 
     Attributes:
-        used_at: when the last exchange ended, or the connection was made.
-        fresh: whether there was no exchange yet.
-        usable: whether another exchange may follow.
+        used_at: Time when the last exchange ended, or when the connection was made.
+        never_used: Whether no exchange was started on the connection yet.
+        usable: Whether another exchange may be started on the connection.
+        all_sent: Whether the last request was sent in full.
     """
 
-    def __init__(self, loop: Loop, stream: Stream, bounds: ConnectionLimits) -> None:
+    def __init__(self, loop: Loop, stream: Stream, limits: ConnectionLimits) -> None:
         self.loop = loop
         self.stream = stream
-        self.bounds = bounds
-        self.reader = MessageReader(False, bounds)
+        self.limits = limits
+        self.reader = MessageReader(False, limits)
         self.used_at = loop.now()
-        self.fresh = True
+        self.never_used = True
         self.usable = True
         self.all_sent = True
 
     def stale(self) -> bool:
-        """Whether an idle connection has ended, or has received bytes that belong to no request."""
+        """Return whether an idle connection has ended, or has received bytes that answer no request."""
         try:
             return self.stream.read_now() is not None
         except OSError:
@@ -90,41 +98,53 @@
     def exchange(
         self,
         data: bytes,
-        until: float,
+        deadline: float,
         progress: Progress,
         no_body: bool = False,
-        flow: BodyStream | None = None,
+        body_stream: BodyStream | None = None,
         chunked: bool = False,
     ) -> Response:
-        """Send a request and read its response, which may have a body stream of its own.
-
-        A response that comes before the request was sent in full counts: writing and reading take turns. `progress`
-        is filled in as the exchange goes on, also where it fails. `no_body`: the request is a HEAD. `flow`: the rest
-        of the request's body, sent as chunks if `chunked`.
-
-        Raises TimedOut at `until`, OSError, InvalidMessage, Closed.
+        """Send a request and read its response, whose body may be left to be streamed.
+
+        Writes alternate with reads, so that a response that arrives before the request was sent in full is
+        accepted.
+
+        Args:
+            data: The encoded request, or the start of it if the rest of its body is in `body_stream`.
+            deadline: Time on the loop's clock at which the exchange times out.
+            progress: Record to update during the exchange, also if the exchange fails.
+            no_body: Whether this is a HEAD request, whose response has no body.
+            body_stream: The rest of the request's body.
+            chunked: Whether `body_stream` is sent in the chunked transfer coding.
+
+        Raises:
+            TimedOut: The deadline passed.
+            OSError: The connection failed.
+            InvalidMessage: The response is invalid or truncated.
+            Closed: The connection was closed by this process.
         """
         stream = self.stream
-        self.fresh = False
+        self.never_used = False
         self.usable = False
-        before = stream.sent
+        sent_before = stream.sent
         progress.total = len(data)
         self.reader.reset(no_body)
         try:
             try:
-                self._send_request(data, until, progress, flow, chunked)
+                self._send_request(data, deadline, progress, body_stream, chunked)
             except (BrokenPipeError, ConnectionResetError):
-                if stream.sent == before:
+                if stream.sent == sent_before:
                     raise
-                # The server closed while we wrote: its response may still be there to read.
+                # The server closed the connection during the write. A response that it sent before that may
+                # still be readable.
             finally:
-                progress.written = stream.sent - before
-            self._read_response(until, progress, no_body)
+                progress.written = stream.sent - sent_before
+            self._read_response(deadline, progress, no_body)
         finally:
             self.used_at = self.loop.now()
         progress.unread_for = stream.seconds_since_receive()
-        response = self.reader.response_read()
-        self.all_sent = progress.written == progress.total and (flow is None or flow.done)
+        response = self.reader.take_response()
+        self.all_sent = progress.written == progress.total and (body_stream is None or body_stream.done)
         if self.reader.complete:
             self.end_exchange()
         else:
@@ -132,22 +152,24 @@
         return response
 
     def _send_request(
-        self, data: bytes, until: float, progress: Progress, flow: BodyStream | None, chunked: bool
+        self, data: bytes, deadline: float, progress: Progress, body_stream: BodyStream | None, chunked: bool
     ) -> None:
         reader = self.reader
-        self._send(data, until, progress)
-        while flow is not None and not flow.done and not reader.complete and not reader.streaming:
-            part = flow.read_part(max(0.0, until - self.loop.now()))
+        self._send(data, deadline, progress)
+        while (
+            body_stream is not None and not body_stream.done and not reader.complete and not reader.streaming
+        ):
+            part = body_stream.read_part(max(0.0, deadline - self.loop.now()))
             data = chunk(part) if chunked else part
             progress.total += len(data)
-            self._send(data, until, progress)
+            self._send(data, deadline, progress)
 
-    def _read_response(self, until: float, progress: Progress, no_body: bool) -> None:
-        """Read until the final response is complete, or flows; interim ones are passed over."""
+    def _read_response(self, deadline: float, progress: Progress, no_body: bool) -> None:
+        """Read until the final response is complete or its body is streaming; skip interim responses."""
         reader = self.reader
         while True:
             while not reader.complete and not reader.streaming:
-                part = self._read(until)
+                part = self._read(deadline)
                 progress.read += len(part)
                 if part:
                     reader.feed(part)
@@ -156,34 +178,34 @@
             if reader.status >= FIRST_FINAL_STATUS:
                 return
             if reader.status == HTTPStatus.SWITCHING_PROTOCOLS:
-                raise InvalidMessage(400, "an upgrade that nobody asked for")
+                raise InvalidMessage(400, "the server switched protocols without being asked to")
             reader.reset(no_body)
             reader.feed(b"")
 
-    def _read(self, until: float) -> bytes:
+    def _read(self, deadline: float) -> bytes:
         try:
-            return self.stream.read(max(0.0, until - self.loop.now()))
+            return self.stream.read(max(0.0, deadline - self.loop.now()))
         except TimedOut:
-            # Where the time is over and the response is here in one turn of the loop, the response came first.
-            late = self.stream.read_now()
-            if late is None:
+            # Bytes that became readable in the same iteration of the loop as the timeout still count.
+            data = self.stream.read_now()
+            if data is None:
                 raise
-            return late
+            return data
 
     def end_exchange(self) -> None:
-        """Decide whether the connection can be used again."""
-        # Bytes behind the response belong to no request: such a connection is not used again.
+        """Decide, at the end of an exchange, whether the connection can be reused."""
+        # Bytes after the response answer no request, so a connection that received any is not reused.
         self.usable = self.reader.keep_alive and not self.reader.buffer and self.all_sent
 
-    def _send(self, data: bytes, until: float, progress: Progress) -> None:
-        """Send until all is sent or the response is there, whichever is first."""
+    def _send(self, data: bytes, deadline: float, progress: Progress) -> None:
+        """Send until all data is sent, the response is complete or streaming, or the server closes."""
         rest = memoryview(data)
         while rest and not self.reader.complete and not self.reader.streaming:
-            sent = self.stream.write_some(rest, max(0.0, until - self.loop.now()))
+            sent = self.stream.write_some(rest, max(0.0, deadline - self.loop.now()))
             rest = rest[sent:]
             part = None if sent else self.stream.read_now()
             if part == b"":
-                return  # closed at its end: what it sent before that is read next
+                return  # the server closed its side; `_read_response` evaluates what it sent before
             if part:
                 progress.read += len(part)
                 self.reader.feed(part)
--- a/stepsail/http/message.py
+++ b/stepsail/http/message.py
@@ -1,4 +1,4 @@
-"""Requests and responses as values, their bounds, and their bytes."""
+"""Data types for requests and responses, the limits on their size and duration, and their encoding."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from http import HTTPStatus
 from typing import Protocol
 
-Headers = list[tuple[bytes, bytes]]  # names in lower case, in the order they came
+Headers = list[tuple[bytes, bytes]]  # names in lower case, in the order received
 
 NO_CONTENT = 204
 NOT_MODIFIED = 304
 BODYLESS_STATUSES = frozenset((NO_CONTENT, NOT_MODIFIED))  # RFC 9110 sections 15.3.5 and 15.4.5
-FIRST_FINAL_STATUS = 200  # below it a response is interim
+FIRST_FINAL_STATUS = 200  # a response with a lower status is interim
 
-# RFC 9110 section 7.6.1: these speak of one connection and go no further.
+# RFC 9110 section 7.6.1: these headers apply to a single connection and are not forwarded.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -33,10 +33,10 @@
 
 
 class InvalidMessage(Exception):
-    """Bytes that are no acceptable message.
+    """Reports received bytes that are not a valid message or exceed a limit.
 
     Attributes:
-        status: the status that a client is answered with; the text says why.
+        status: Status of the error response to a client; the text of the exception is the reason.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -45,7 +45,7 @@
 
 
 class TruncatedMessage(InvalidMessage):
-    """A well-formed message that ended before it was complete."""
+    """Reports that the stream ended in the middle of a message that was valid so far."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,13 +53,16 @@
     """Limits of one connection.
 
     Attributes:
-        head: bytes of a head.
-        body: bytes of a body.
-        hold: bytes of a body that is kept in memory; the message of a larger one has a `flow` for the rest.
-        idle: seconds without a request.
-        slow: seconds from the first byte of a request to its last.
-        first: seconds from the connection to the last byte of the first request; 0: as for any other.
-        until_close: whether a response without a length, which lasts until the close, is accepted.
+        head_bytes: Maximum size of a message head.
+        body_bytes: Maximum size of a body.
+        buffered_bytes: Maximum size of a body that is buffered in memory. A message with a larger body has a
+            `body_stream` for the rest.
+        idle_timeout: Maximum seconds without a request.
+        request_timeout: Maximum seconds from the first byte of a request to its last.
+        first_request_timeout: Maximum seconds from the start of the connection to the last byte of the first
+            request. If it is 0, the first request has the same timeouts as any other.
+        allow_until_close: Whether a response without a length, whose body ends when the connection closes, is
+            accepted.
     """
 
     head_bytes: int = 16384
@@ -71,38 +74,50 @@
     allow_until_close: bool = True
 
 
-def find(headers: Headers, name: bytes) -> bytes | None:
-    """The first value of a header, by its name in lower case."""
-    return next((value for known, value in headers if known == name), None)
+def find_header(headers: Headers, name: bytes) -> bytes | None:
+    """Return the first value of the header with this lower-case name; None if it is absent."""
+    return next((value for header_name, value in headers if header_name == name), None)
 
 
-def listed(headers: Headers, name: bytes) -> set[bytes]:
-    """All members of a comma-separated header, in lower case."""
-    return {part.strip().lower() for known, value in headers if known == name for part in value.split(b",")}
+def parse_list_header(headers: Headers, name: bytes) -> set[bytes]:
+    """Return the members of all comma-separated headers with this lower-case name, in lower case."""
+    return {
+        member.strip().lower()
+        for header_name, value in headers
+        if header_name == name
+        for member in value.split(b",")
+    }
 
 
 class BodyStream(Protocol):
-    """The rest of a body, as it comes.
+    """Streams the rest of a body as it arrives.
 
     Attributes:
-        begun: whether a part was taken, so that it can be sent to nobody else.
-        done: whether the last part was taken.
+        read_started: Whether reading has started, after which the body can be sent to one recipient only.
+        done: Whether the end of the body was read.
     """
 
-    begun: bool
+    read_started: bool
     done: bool
 
-    def read_part(self, within: float) -> bytes:
-        """The next part; none at the end. Raises TimedOut, OSError, Closed, InvalidMessage."""
+    def read_part(self, timeout: float) -> bytes:
+        """Return the next part of the body, which is empty at the end.
+
+        Raises:
+            TimedOut: No bytes arrived within `timeout` seconds.
+            OSError: The connection failed.
+            Closed: The source of the body was closed by this process.
+            InvalidMessage: The rest of the message is invalid or truncated.
+        """
 
 
 @dataclass(slots=True)
 class Request:
-    """A request; complete, unless there is a flow.
+    """A request, which is complete unless it has a `body_stream`.
 
     Attributes:
-        length: bytes of the body, None where it comes in chunks.
-        chunks_known: whether the client speaks HTTP/1.1, and so knows chunks.
+        length: Size of the body in bytes; None if the body is chunked.
+        accepts_chunks: Whether the client speaks HTTP/1.1 and therefore accepts a chunked response.
     """
 
     method: bytes
@@ -115,16 +130,16 @@
     accepts_chunks: bool = True
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of a header, by its name in lower case."""
-        return find(self.headers, name)
+        """Return the first value of the header with this lower-case name; None if it is absent."""
+        return find_header(self.headers, name)
 
 
 @dataclass(slots=True)
 class Response:
-    """A response; complete, unless there is a flow.
+    """A response, which is complete unless it has a `body_stream`.
 
     Attributes:
-        length: bytes of the body, None where that is not known.
+        length: Size of the body in bytes; None if it is not known in advance.
     """
 
     status: int
@@ -135,35 +150,43 @@
     length: int | None = None
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of a header, by its name in lower case."""
-        return find(self.headers, name)
+        """Return the first value of the header with this lower-case name; None if it is absent."""
+        return find_header(self.headers, name)
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """The headers that are for the far end: not hop-by-hop, nor named by Connection."""
-    named = listed(headers, b"connection")
-    return [(name, value) for name, value in headers if name not in HOP_BY_HOP and name not in named]
+    """Return the headers to forward: those neither hop-by-hop nor listed in the Connection header."""
+    connection_options = parse_list_header(headers, b"connection")
+    return [
+        (name, value) for name, value in headers if name not in HOP_BY_HOP and name not in connection_options
+    ]
 
 
-def _lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
+def _encode_headers(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
     return b"".join(b"%s: %s\r\n" % pair for pair in headers)
 
 
 def chunk(part: bytes) -> bytes:
-    """One chunk of a body; the last one for an empty part."""
+    """Encode a part of a body as one chunk; an empty part gives the chunk that ends the body."""
     return b"%x\r\n%s\r\n" % (len(part), part)
 
 
-def _framing(length: int | None) -> bytes:
+def _framing_header(length: int | None) -> bytes:
     return b"transfer-encoding: chunked\r\n" if length is None else b"content-length: %d\r\n" % length
 
 
 def encode_request_start(
     method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes, length: int | None
 ) -> bytes:
-    """The beginning of a request whose body is longer than the part that is here."""
-    first = chunk(body) if length is None else body
-    return b"%s %s HTTP/1.1\r\n%s%s\r\n%s" % (method, target, _lines(headers), _framing(length), first)
+    """Encode the head of a request and the first part of its body, whose length of None means chunked."""
+    first_part = chunk(body) if length is None else body
+    return b"%s %s HTTP/1.1\r\n%s%s\r\n%s" % (
+        method,
+        target,
+        _encode_headers(headers),
+        _framing_header(length),
+        first_part,
+    )
 
 
 def encode_response_start(
@@ -174,15 +197,18 @@
     keep_alive: bool,
     chunked: bool,
 ) -> bytes:
-    """The beginning of a response whose body is longer; without length or chunks it lasts until the close."""
-    line = STATUS_LINES.get(status) or b"HTTP/1.1 %d \r\n" % status
-    framing = _framing(length) if chunked or length is not None else b""
-    ending = b"" if keep_alive else b"connection: close\r\n"
+    """Encode the head of a response and the first part of its body.
+
+    Without a length or chunks, the body ends when the connection closes.
+    """
+    status_line = STATUS_LINES.get(status) or b"HTTP/1.1 %d \r\n" % status
+    framing_header = _framing_header(length) if chunked or length is not None else b""
+    connection_header = b"" if keep_alive else b"connection: close\r\n"
     return b"%s%s%s%s\r\n%s" % (
-        line,
-        _lines(headers),
-        framing,
-        ending,
+        status_line,
+        _encode_headers(headers),
+        framing_header,
+        connection_header,
         chunk(body) if length is None and chunked else body,
     )
 
@@ -190,9 +216,9 @@
 def encode_request(
     method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
 ) -> bytes:
-    """A request with its length; the caller gives Host."""
-    length = b"content-length: %d\r\n" % len(body) if body or method not in (b"GET", b"HEAD") else b""
-    return b"%s %s HTTP/1.1\r\n%s%s\r\n%s" % (method, target, _lines(headers), length, body)
+    """Encode a complete request with its content length; `headers` must include Host."""
+    length_header = b"content-length: %d\r\n" % len(body) if body or method not in (b"GET", b"HEAD") else b""
+    return b"%s %s HTTP/1.1\r\n%s%s\r\n%s" % (method, target, _encode_headers(headers), length_header, body)
 
 
 STATUS_LINES = {int(s): b"HTTP/1.1 %d %s\r\n" % (s, s.phrase.encode()) for s in HTTPStatus}
@@ -205,11 +231,17 @@
     keep_alive: bool = True,
     head_only: bool = False,
 ) -> bytes:
-    """A response with its length; no body goes with 204, 304 or a response to HEAD."""
-    line = STATUS_LINES.get(status) or b"HTTP/1.1 %d \r\n" % status
-    length = (
+    """Encode a complete response with its content length; 204, 304 and responses to HEAD have no body."""
+    status_line = STATUS_LINES.get(status) or b"HTTP/1.1 %d \r\n" % status
+    length_header = (
         b"" if status == NO_CONTENT or status < FIRST_FINAL_STATUS else b"content-length: %d\r\n" % len(body)
     )
-    ending = b"" if keep_alive else b"connection: close\r\n"
-    shown = b"" if head_only or status in BODYLESS_STATUSES else body
-    return b"%s%s%s%s\r\n%s" % (line, _lines(headers), length, ending, shown)
+    connection_header = b"" if keep_alive else b"connection: close\r\n"
+    sent_body = b"" if head_only or status in BODYLESS_STATUSES else body
+    return b"%s%s%s%s\r\n%s" % (
+        status_line,
+        _encode_headers(headers),
+        length_header,
+        connection_header,
+        sent_body,
+    )
--- a/stepsail/http/reader.py
+++ b/stepsail/http/reader.py
@@ -1,4 +1,4 @@
-"""Bytes into one message at a time, by the httptools parser, inside the bounds. No I/O."""
+"""Reads messages from bytes with the httptools parser and enforces the limits on their size. No I/O."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     Request,
     Response,
     TruncatedMessage,
-    find,
-    listed,
+    find_header,
+    parse_list_header,
 )
 from stepsail.http.strict import body_length, check_head
 
-MAX_CHUNK_OVERHEAD = 4  # bytes on the wire for each byte of a chunked body: tiny chunks are an attack
-FREE_CHUNK_OVERHEAD = 65536  # bytes on the wire beyond that
-MAX_EMPTY_LINES = 2  # before a request (RFC 9112 section 2.2)
+MAX_CHUNK_OVERHEAD = 4  # bytes received for each byte of a chunked body; limits attacks with tiny chunks
+FREE_CHUNK_OVERHEAD = 65536  # bytes received that are allowed beyond that ratio
+MAX_EMPTY_LINES = 2  # that are skipped before a request (RFC 9112 section 2.2)
 CR = 13
 
 
 class State(Enum):
-    """Which part of a message comes next."""
+    """The part of a message that is to be read next."""
 
     HEAD = "head"
     SIZED_BODY = "body of a known length"
@@ -37,7 +37,8 @@
     COMPLETE = "none: the message is complete"
 
 
-# Bound once: in Python 3.11 looking a member up in its enumeration costs more than what is done with it here.
+# Aliases for speed: in Python 3.11, looking up a member of an enumeration costs more than the operations that
+# the reader performs with it.
 HEAD = State.HEAD
 SIZED_BODY = State.SIZED_BODY
 CHUNKED_BODY = State.CHUNKED_BODY
@@ -46,97 +47,109 @@
 
 
 class MessageReader:
-    """Feed it bytes until `whole`; then take the message, and `reset` for the next. Keeps to the bounds.
+    """Reads one message at a time from bytes and enforces the limits on its size.
+
+    Call `feed` until the message is `complete` or its body is `streaming`, then take the message. Call
+    `reset` before the next message.
 
     Attributes:
-        request: whether it reads requests, or else responses.
-        buffer: bytes that belong to no message yet.
-        parts: the body so far.
-        got: bytes of the body so far.
-        whole: whether the message is complete.
-        wire: bytes of a chunked body on the wire; before a head, empty lines that were passed over.
+        reads_requests: Whether the messages are requests; otherwise, they are responses.
+        buffer: Received bytes that were not assigned to a message yet.
+        parts: Parts of the body that were read and not taken yet.
+        body_bytes: Number of bytes of the body that were read.
+        complete: Whether the message was read in full.
+        wire_bytes: Number of bytes received for a chunked body, including its framing. Before the head is
+            read, the number of empty lines that were skipped.
     """
 
-    def __init__(self, request: bool, bounds: ConnectionLimits) -> None:
-        self.request = request
-        self.bounds = bounds
+    def __init__(self, reads_requests: bool, limits: ConnectionLimits) -> None:
+        self.reads_requests = reads_requests
+        self.limits = limits
         self.buffer = bytearray()
         self.reset()
 
     def reset(self, no_body: bool = False) -> None:
-        """Begin the next message, from what is left over. `no_body`: a response to a HEAD request."""
+        """Prepare to read the next message, which begins with the bytes left in the buffer.
+
+        Args:
+            no_body: Whether the message is the response to a HEAD request.
+        """
         self.state = HEAD
         self.complete = False
         self.no_body = no_body
-        self.left = 0  # bytes of a sized body that are to come
+        self.remaining_bytes = 0  # bytes of a body of known length that were not read yet
         self.wire_bytes = 0
         self.headers: Headers = []
         self.parts: list[bytes] = []
         self.body_bytes = 0
-        self.ended = False  # the parser has seen the end of the message
-        self.overrun = False  # and the beginning of another one behind it
+        self.parser_finished = False  # the parser has reached the end of the message
+        self.overrun = False  # the parser has received the start of another message after that end
         self.url = b""
         self.status = 0
         self.keep_alive = True
-        self.expects = False  # the client waits for 100 Continue
+        self.expects_continue = False  # the client waits for 100 Continue before it sends the body
         self.method = b""
         self.version = "1.1"
         self.length: int | None = None
 
-    # -- called by the parser ------------------------------------------------------------------------------
+    # -- callbacks of the parser ---------------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """A message begins."""
-        self.overrun = self.overrun or self.ended
+        """Handle the start of a message."""
+        self.overrun = self.overrun or self.parser_finished
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request target."""
-        if not self.ended:
+        """Handle a part of the request target."""
+        if not self.parser_finished:
             self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header line."""
-        if self.state is HEAD:  # trailers are left out
+        """Handle one header line."""
+        if self.state is HEAD:  # trailer fields are ignored
             self.headers.append((name.lower(), value))
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
-        if not self.ended:
+        """Handle a part of the body."""
+        if not self.parser_finished:
             self.body_bytes += len(part)
             self.parts.append(part)
 
     def on_message_complete(self) -> None:
-        """The message ends."""
-        self.ended = True
+        """Handle the end of the message."""
+        self.parser_finished = True
 
     @property
     def streaming(self) -> bool:
-        """Whether the body is larger than what is held, so that its parts must be taken as they come."""
-        return self.body_bytes > self.bounds.buffered_bytes and self.state not in (HEAD, COMPLETE)
+        """Whether the body is too large to be buffered, so that its parts must be taken as they arrive."""
+        return self.body_bytes > self.limits.buffered_bytes and self.state not in (HEAD, COMPLETE)
 
-    def take(self) -> bytes:
-        """The body so far, which is kept no longer."""
-        taken = b"".join(self.parts)
+    def take_body(self) -> bytes:
+        """Return the parts of the body that were read, and remove them from the reader."""
+        body = b"".join(self.parts)
         self.parts = []
-        return taken
+        return body
 
     @property
     def begun(self) -> bool:
-        """Whether any byte of a message is here."""
+        """Whether any byte of an incomplete message or of a following one was received."""
         return bool(self.buffer) or self.state not in (HEAD, COMPLETE)
 
     def feed(self, data: bytes) -> None:
-        """Raises InvalidMessage; the connection is then of no further use."""
+        """Process received bytes.
+
+        Raises:
+            InvalidMessage: The message is invalid or exceeds a limit; the connection is then unusable.
+        """
         self.buffer += data
         try:
             if self.state is HEAD:
-                self._head()
+                self._read_head()
             if self.state is SIZED_BODY:
-                self._sized()
+                self._read_sized_body()
             elif self.state is CHUNKED_BODY:
-                self._chunked()
+                self._read_chunked_body()
             elif self.state is BODY_UNTIL_CLOSE:
-                self._take(bytes(self.buffer))
+                self._add_body_part(bytes(self.buffer))
                 self.buffer.clear()
         except httptools.HttpParserUpgrade:
             raise InvalidMessage(501, "no other protocol is spoken here") from None
@@ -144,29 +157,33 @@
             raise InvalidMessage(400, str(error) or "malformed") from None
 
     def end(self) -> None:
-        """The far end has closed. Raises InvalidMessage unless that completes the message."""
+        """Handle the end of the stream.
+
+        Raises:
+            TruncatedMessage: The message is not complete.
+        """
         if self.state is BODY_UNTIL_CLOSE:
             self.keep_alive = False
             self._complete()
         elif self.state is not COMPLETE:
-            raise TruncatedMessage(400, "the stream ended inside a message")
+            raise TruncatedMessage(400, "the stream ended before the message was complete")
 
-    def _head(self) -> None:
+    def _read_head(self) -> None:
         head = self._take_head()
         if head is None:
             return
-        check_head(head, self.request)
-        kind = httptools.HttpRequestParser if self.request else httptools.HttpResponseParser
-        self.parser: Any = kind(self)
+        check_head(head, self.reads_requests)
+        parser_class = httptools.HttpRequestParser if self.reads_requests else httptools.HttpResponseParser
+        self.parser: Any = parser_class(self)
         self.parser.feed_data(head)
         self.version = self.parser.get_http_version()
-        connection = listed(self.headers, b"connection")
+        connection = parse_list_header(self.headers, b"connection")
         self.keep_alive = b"close" not in connection and (
             self.version == "1.1" or b"keep-alive" in connection
         )
-        length = body_length(self.headers, self.request, self.version)
-        if self.request:
-            self._request_head()
+        length = body_length(self.headers, self.reads_requests, self.version)
+        if self.reads_requests:
+            self._check_request_head()
         else:
             self.status = self.parser.get_status_code()
             if self.no_body or self.status < FIRST_FINAL_STATUS or self.status in BODYLESS_STATUSES:
@@ -174,47 +191,49 @@
         self._begin_body(length)
 
     def _take_head(self) -> bytes | None:
-        """Take the head out of the buffer; None while it is not complete."""
-        if self.request:
+        """Remove the head from the buffer and return it; return None if it is not complete."""
+        if self.reads_requests:
             while self.buffer[:2] == b"\r\n" and self.wire_bytes < MAX_EMPTY_LINES:
                 del self.buffer[:2]
                 self.wire_bytes += 1
         end = self.buffer.find(b"\r\n\r\n")
-        if end < 0 or end + 4 > self.bounds.head_bytes:
-            if len(self.buffer) >= self.bounds.head_bytes:
-                raise InvalidMessage(431, f"a head of over {self.bounds.head_bytes} bytes")
-            bare = self.buffer.find(b"\n")
-            if bare == 0 or (bare > 0 and self.buffer[bare - 1] != CR):
+        if end < 0 or end + 4 > self.limits.head_bytes:
+            if len(self.buffer) >= self.limits.head_bytes:
+                raise InvalidMessage(431, f"a head of over {self.limits.head_bytes} bytes")
+            line_feed = self.buffer.find(b"\n")
+            if line_feed == 0 or (line_feed > 0 and self.buffer[line_feed - 1] != CR):
                 raise InvalidMessage(400, "a line that ends in a bare LF")
             return None
         head = bytes(self.buffer[: end + 4])
         del self.buffer[: end + 4]
         return head
 
-    def _request_head(self) -> None:
+    def _check_request_head(self) -> None:
         self.method = self.parser.get_method()
         if self.method == b"CONNECT":
             raise InvalidMessage(501, "no tunnels are made here")
-        hosts = sum(name == b"host" for name, _ in self.headers)
-        if hosts > 1 or (self.version == "1.1" and not hosts):
+        host_count = sum(name == b"host" for name, _ in self.headers)
+        if host_count > 1 or (self.version == "1.1" and not host_count):
             raise InvalidMessage(400, "no Host, or several")
-        expected = (find(self.headers, b"expect") or b"").lower()
-        self.expects = expected == b"100-continue" and self.version == "1.1"
+        expectation = (find_header(self.headers, b"expect") or b"").lower()
+        self.expects_continue = expectation == b"100-continue" and self.version == "1.1"
 
     def _begin_body(self, length: int | None) -> None:
-        """`length` as `body_length` has it."""
+        """Start the body; `length` is a result of `body_length`."""
         self.length = length if length is None or length >= 0 else None
         if length is None:
             self.state = CHUNKED_BODY
             self.wire_bytes = 0
         elif length < 0:
-            if not self.bounds.allow_until_close:
-                raise InvalidMessage(400, "neither a length nor chunks")
+            if not self.limits.allow_until_close:
+                raise InvalidMessage(
+                    400, "the response has neither a content length nor the chunked transfer coding"
+                )
             self.state = BODY_UNTIL_CLOSE
-        elif length > self.bounds.body_bytes:
-            raise InvalidMessage(413, f"a body of over {self.bounds.body_bytes} bytes")
+        elif length > self.limits.body_bytes:
+            raise InvalidMessage(413, f"a body of over {self.limits.body_bytes} bytes")
         else:
-            self.left = length
+            self.remaining_bytes = length
             self.state = SIZED_BODY
             if not length:
                 self._complete()
@@ -223,49 +242,50 @@
         self.state = COMPLETE
         self.complete = True
 
-    def _sized(self) -> None:
-        part = bytes(self.buffer[: self.left])
-        del self.buffer[: self.left]
-        self.left -= len(part)
+    def _read_sized_body(self) -> None:
+        part = bytes(self.buffer[: self.remaining_bytes])
+        del self.buffer[: self.remaining_bytes]
+        self.remaining_bytes -= len(part)
         if part:
             self.parser.feed_data(part)
-        if not self.left:
+        if not self.remaining_bytes:
             self._complete()
 
-    def _chunked(self) -> None:
+    def _read_chunked_body(self) -> None:
         data = bytes(self.buffer)
         self.buffer.clear()
         self.wire_bytes += len(data)
         if data:
             self.parser.feed_data(data)
         if (
-            self.body_bytes > self.bounds.body_bytes
+            self.body_bytes > self.limits.body_bytes
             or self.wire_bytes > MAX_CHUNK_OVERHEAD * self.body_bytes + FREE_CHUNK_OVERHEAD
         ):
-            raise InvalidMessage(413, f"a body of over {self.bounds.body_bytes} bytes, or mostly framing")
-        if self.ended:
-            # What follows a chunked message in one read has gone into this parser: the connection ends.
+            raise InvalidMessage(413, f"a body of over {self.limits.body_bytes} bytes, or mostly framing")
+        if self.parser_finished:
+            # Bytes after the end of a chunked message in the same read have already gone to the parser and
+            # are lost, so the connection must end with this message.
             self.keep_alive = self.keep_alive and not self.overrun
             self._complete()
 
-    def _take(self, part: bytes) -> None:
+    def _add_body_part(self, part: bytes) -> None:
         self.on_body(part)
-        if self.body_bytes > self.bounds.body_bytes:
-            raise InvalidMessage(413, f"a body of over {self.bounds.body_bytes} bytes")
+        if self.body_bytes > self.limits.body_bytes:
+            raise InvalidMessage(413, f"a body of over {self.limits.body_bytes} bytes")
 
-    def request_read(self) -> Request:
-        """The request that was read, with the body so far."""
+    def take_request(self) -> Request:
+        """Return the request with the part of its body that was read, and remove that part."""
         return Request(
             self.method,
             self.url,
             self.headers,
-            self.take(),
+            self.take_body(),
             self.keep_alive,
             None,
             self.length,
             self.version == "1.1",
         )
 
-    def response_read(self) -> Response:
-        """The response that was read, with the body so far."""
-        return Response(self.status, self.headers, self.take(), self.keep_alive, None, self.length)
+    def take_response(self) -> Response:
+        """Return the response with the part of its body that was read, and remove that part."""
+        return Response(self.status, self.headers, self.take_body(), self.keep_alive, None, self.length)
--- a/stepsail/http/server_connection.py
+++ b/stepsail/http/server_connection.py
@@ -1,4 +1,4 @@
-"""The serving end of a connection: one request at a time, the next ones wait in the system's buffer."""
+"""Server side of an HTTP connection: reads one request at a time; later ones wait in the receive buffer."""
 
 from __future__ import annotations
 
@@ -8,89 +8,107 @@
 from stepsail.loop.tasks import Waiter
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-MAX_PIPELINED = 65536  # bytes of further requests that are read while one is being answered
+MAX_PIPELINED = 65536  # bytes of further requests that are read while a request is being answered
 
 
 class RequestBodyStream:
-    """The rest of a request's body; once begun it can be sent to one server only."""
+    """Streams the rest of a request's body; once reading has started, it can be sent to one server only."""
 
     def __init__(self, connection: ServerConnection) -> None:
         self.connection = connection
-        self.begun = False
+        self.read_started = False
         self.done = False
 
-    def read_part(self, within: float) -> bytes:
-        """The next part; none at the end. Raises TimedOut, OSError, Closed, InvalidMessage."""
+    def read_part(self, timeout: float) -> bytes:
+        """Return the next part of the body, which is empty at the end.
+
+        Raises:
+            TimedOut: No bytes arrived within `timeout` seconds.
+            OSError: The connection failed.
+            Closed: The connection was closed by this process.
+            InvalidMessage: The rest of the request is invalid or truncated.
+        """
         reader = self.connection.reader
-        self.begun = True
+        self.read_started = True
         while not reader.parts and not reader.complete:
-            data = self.connection.stream.read(within)
+            data = self.connection.stream.read(timeout)
             if not data:
                 raise InvalidMessage(400, "the stream ended inside a request")
             reader.feed(data)
-        part = reader.take()
+        part = reader.take_body()
         self.done = not part
         return part
 
 
 class ServerConnection:
-    """Reads requests off a stream. What a client pipelines is kept up to MAX_PIPELINED bytes, then left unread."""
+    """Reads requests from a stream.
 
-    def __init__(self, loop: Loop, stream: Stream, bounds: ConnectionLimits) -> None:
+    Pipelined requests are buffered up to MAX_PIPELINED bytes; anything beyond that is left unread.
+    """
+
+    def __init__(self, loop: Loop, stream: Stream, limits: ConnectionLimits) -> None:
         self.loop = loop
         self.stream = stream
-        self.bounds = bounds
-        self.reader = MessageReader(True, bounds)
-        self.half_closed = False  # the client has sent the end of its stream
-        self.first_by = loop.now() + bounds.first_request_timeout if bounds.first_request_timeout else 0.0
+        self.limits = limits
+        self.reader = MessageReader(True, limits)
+        self.half_closed = False  # the client has closed its sending side
+        self.first_request_deadline = (
+            loop.now() + limits.first_request_timeout if limits.first_request_timeout else 0.0
+        )
 
     def next(self) -> Request | None:
-        """The next request; None when the client is done or idle. Raises InvalidMessage, OSError."""
+        """Return the next request; None if the client has closed its side or was idle for too long.
+
+        Raises:
+            InvalidMessage: The request is invalid, truncated, exceeds a limit or arrived too slowly.
+            OSError: The connection failed.
+        """
         reader = self.reader
         if reader.complete:
             reader.reset()
         if reader.buffer:
             reader.feed(b"")
-        deadline = self.first_by
-        self.first_by = 0.0
+        deadline = self.first_request_deadline
+        self.first_request_deadline = 0.0
         continue_sent = False
         while not reader.complete and not reader.streaming:
             if reader.begun and not deadline:
-                deadline = self.loop.now() + self.bounds.request_timeout
-            if reader.expects and not continue_sent:
+                deadline = self.loop.now() + self.limits.request_timeout
+            if reader.expects_continue and not continue_sent:
                 continue_sent = True
-                self.stream.write(CONTINUE, self.bounds.request_timeout)
+                self.stream.write(CONTINUE, self.limits.request_timeout)
             data = self._read(deadline)
             if not data:
                 if data is not None and reader.begun:
                     raise InvalidMessage(400, "the stream ended inside a request")
                 return None
             reader.feed(data)
-        request = reader.request_read()
+        request = reader.take_request()
         if not reader.complete:
             request.body_stream = RequestBodyStream(self)
         return request
 
     def _read(self, deadline: float) -> bytes | None:
-        """Some bytes, none at the end of the stream; None where an idle client sent nothing in its time."""
+        """Return received bytes; empty at the end of the stream, None if an idle client sent none in time."""
         if self.half_closed:
             return b""
         try:
             return self.stream.read(
-                max(0.0, deadline - self.loop.now()) if deadline else self.bounds.idle_timeout
+                max(0.0, deadline - self.loop.now()) if deadline else self.limits.idle_timeout
             )
         except TimedOut:
-            # Where the time is over and the bytes are here in one turn of the loop, the bytes came first.
-            late = self.stream.read_now()
-            if late is None and self.reader.begun:
+            # Bytes that became readable in the same iteration of the loop as the timeout still count.
+            data = self.stream.read_now()
+            if data is None and self.reader.begun:
                 raise InvalidMessage(408, "a request took too long to arrive") from None
-            return late
+            return data
 
     def wake_on_data(self, waiter: Waiter) -> bool:
-        """Wake the waiter when the client sends or closes while a request is answered.
+        """Wake the waiter when the client sends bytes or closes while its request is being answered.
 
         Returns:
-            False where nothing would wake it: the end is known, or MAX_PIPELINED bytes are here.
+            False if the waiter will not be woken, because the client is already known to have closed its side
+            or MAX_PIPELINED bytes are buffered.
         """
         if self.half_closed or len(self.reader.buffer) >= MAX_PIPELINED:
             return False
@@ -98,13 +116,13 @@
         return True
 
     def read_ahead(self) -> bool:
-        """Read what came, up to MAX_PIPELINED bytes.
+        """Read the bytes that have arrived, until MAX_PIPELINED bytes are buffered.
 
         Returns:
-            False when the client has closed its side, also behind what it has pipelined.
+            False if the client has closed its side, also if unread pipelined bytes precede the close.
 
         Raises:
-            OSError: the connection is broken.
+            OSError: The connection failed.
         """
         while not self.half_closed and len(self.reader.buffer) < MAX_PIPELINED:
             data = self.stream.read_now()
@@ -115,5 +133,8 @@
         return not (self.half_closed or self.stream.peer_closed())
 
     def is_quiet(self) -> bool:
-        """Whether no byte of a request is here, read or not: only then may the connection be closed."""
+        """Return whether no byte of a request has arrived, read or unread.
+
+        Only then may the connection be closed.
+        """
         return not (self.reader.begun or self.stream.readable())
--- a/stepsail/http/single_request.py
+++ b/stepsail/http/single_request.py
@@ -1,4 +1,4 @@
-"""One request on a connection of its own."""
+"""Single requests, each on a connection of its own."""
 
 from __future__ import annotations
 
@@ -10,24 +10,27 @@
 
 def request_once(
     loop: Loop,
-    to: Address,
+    address: Address,
     target: bytes,
     method: bytes = b"GET",
-    connect_within: float = 0.5,
-    within: float = 0.5,
+    connect_timeout: float = 0.5,
+    timeout: float = 0.5,
     body: bytes = b"",
 ) -> Response:
-    """Send one request and return its response.
+    """Send one request on a new connection and return its response.
 
     Raises:
-        OSError: there is no complete response within `within` seconds of connecting.
+        OSError: The connection was not made within `connect_timeout` seconds, or no complete, valid response
+            arrived within `timeout` seconds after that.
     """
     try:
-        stream = Stream.connect(loop, to, connect_within)
+        stream = Stream.connect(loop, address, connect_timeout)
         try:
-            data = encode_request(method, target, [(b"host", b"%s:%d" % (to[0].encode(), to[1]))], body)
+            data = encode_request(
+                method, target, [(b"host", b"%s:%d" % (address[0].encode(), address[1]))], body
+            )
             return ClientConnection(loop, stream, ConnectionLimits()).exchange(
-                data, loop.now() + within, Progress()
+                data, loop.now() + timeout, Progress()
             )
         finally:
             stream.close()
--- a/stepsail/platform/client_protocol.py
+++ b/stepsail/platform/client_protocol.py
@@ -8,7 +8,7 @@
 
 from stepsail.decisions.interface import Idempotency
 from stepsail.http import Request, Response
-from stepsail.http.message import listed
+from stepsail.http.message import parse_list_header
 from stepsail.platform import wire_names
 from stepsail.platform.errors import InvalidRequest
 from stepsail.proxy.client_protocol import ParsedRequest
@@ -143,7 +143,7 @@
             raise InvalidRequest(400, "this product needs a label")
         if request.method == b"GET" and (request.body or request.length):
             raise InvalidRequest(400, "a body where none belongs")
-        if b"upgrade" in listed(request.headers, b"connection"):
+        if b"upgrade" in parse_list_header(request.headers, b"connection"):
             raise InvalidRequest(400, "no other protocol is spoken here")
 
     def _parse(self, request: Request, route: Route, headers: dict[bytes, bytes]) -> ParsedRequest:
--- a/stepsail/proxy/upstream_attempt.py
+++ b/stepsail/proxy/upstream_attempt.py
@@ -39,18 +39,18 @@
 
     def __init__(self, parts: Channel[bytes]) -> None:
         self.parts = parts
-        self.begun = False
+        self.read_started = False
         self.done = False
 
-    def read_part(self, within: float) -> bytes:
+    def read_part(self, timeout: float) -> bytes:
         """Return the next part, which is empty at the end.
 
         Raises:
             Closed: The attempt ended before the response was complete.
-            TimedOut: No part arrived within `within` seconds.
+            TimedOut: No part arrived within `timeout` seconds.
         """
-        self.begun = True
-        part = self.parts.get(within)
+        self.read_started = True
+        part = self.parts.get(timeout)
         self.done = not part
         return part
 
@@ -190,7 +190,7 @@
         """Send the request and read the response; retry on another connection only if no byte was written."""
         while True:
             body = self.in_flight.request.body_stream
-            body_consumed = body is not None and body.begun
+            body_consumed = body is not None and body.read_started
             if self.in_flight.finished or self.sender.loop.now() >= self.deadline or body_consumed:
                 return ExchangeResult(ExchangeEnd.NOT_STARTED)
             try:
@@ -245,7 +245,7 @@
         pool = self.sender.pool
         request = self.in_flight.request
         progress = self.progress
-        is_new = connection.fresh
+        is_new = connection.never_used
         idle_for = now - connection.used_at
         is_streaming = False
         broke = False
--- a/stepsail/standins/instances.py
+++ b/stepsail/standins/instances.py
@@ -108,7 +108,7 @@
         """Whether it says that it is; waits a moment for its answer."""
         try:
             answer = request_once(
-                self.loop, self.listen, b"/.stepsail/ready", connect_within=CONNECT_TIMEOUT_S
+                self.loop, self.listen, b"/.stepsail/ready", connect_timeout=CONNECT_TIMEOUT_S
             )
         except OSError:
             return False
--- a/tests/http/test_reader.py
+++ b/tests/http/test_reader.py
@@ -1,4 +1,4 @@
-"""Messages from bytes: what is read, what is turned away, and any bytes at all."""
+"""Tests of the message reader: valid messages, rejected messages, and arbitrary bytes."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 from stepsail.http.message import end_to_end
 from stepsail.http.reader import MessageReader
 
-BOUNDS = ConnectionLimits(head_bytes=400, body_bytes=100)
-HOST = b"host: x\r\n"
-CHUNKED = b"POST /r HTTP/1.1\r\n" + HOST + b"transfer-encoding: chunked\r\n\r\n"
+LIMITS = ConnectionLimits(head_bytes=400, body_bytes=100)
+HOST_LINE = b"host: x\r\n"
+CHUNKED_HEAD = b"POST /r HTTP/1.1\r\n" + HOST_LINE + b"transfer-encoding: chunked\r\n\r\n"
 
 
-def read(data: bytes, cuts: list[int] | None = None) -> Request:
-    reader = MessageReader(True, BOUNDS)
-    places = sorted({0, len(data), *(c % (len(data) + 1) for c in cuts or [])})
-    for start, end in pairwise(places):
+def read_request(data: bytes, split_points: list[int] | None = None) -> Request:
+    reader = MessageReader(True, LIMITS)
+    boundaries = sorted({0, len(data), *(point % (len(data) + 1) for point in split_points or [])})
+    for start, end in pairwise(boundaries):
         reader.feed(data[start:end])
     assert reader.complete
-    return reader.request_read()
+    return reader.take_request()
 
 
-def status(data: bytes, request: bool = True) -> int:
-    reader = MessageReader(request, BOUNDS)
-    with pytest.raises(InvalidMessage) as found:
+def rejection_status(data: bytes, is_request: bool = True) -> int:
+    reader = MessageReader(is_request, LIMITS)
+    with pytest.raises(InvalidMessage) as raised:
         reader.feed(data)
         reader.end()
-    return found.value.status
+    return raised.value.status
 
 
-def test_a_chunked_body_is_read_whatever_way_it_is_cut() -> None:
-    data = CHUNKED + b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"
-    for at in range(len(data)):
-        assert read(data, [at]).body == b"abcde"
-    assert read(data, list(range(len(data)))).body == b"abcde"
+def test_chunked_body_is_read_however_it_is_split() -> None:
+    data = CHUNKED_HEAD + b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"
+    for split_point in range(len(data)):
+        assert read_request(data, [split_point]).body == b"abcde"
+    assert read_request(data, list(range(len(data)))).body == b"abcde"
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("data", "expected_status"),
     [
         (b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\ncontent-length: 3\r\n\r\nabc", 400),
         (b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabc", 400),
@@ -80,44 +80,46 @@
         (b"GET / HTTP/1.1\r\nhost: x\r\n", 400),
     ],
 )
-def test_what_proxies_disagree_on_is_turned_away(text: bytes, said: int) -> None:
-    assert status(text) == said
+def test_invalid_or_ambiguous_request_is_rejected(data: bytes, expected_status: int) -> None:
+    assert rejection_status(data) == expected_status
 
 
-def test_over_a_hundred_header_lines_are_turned_away() -> None:
+def test_over_a_hundred_header_lines_are_rejected() -> None:
     reader = MessageReader(True, ConnectionLimits())
     with pytest.raises(InvalidMessage, match="over 100 header lines"):
-        reader.feed(b"GET / HTTP/1.1\r\n" + HOST + b"a: b\r\n" * 101 + b"\r\n")
+        reader.feed(b"GET / HTTP/1.1\r\n" + HOST_LINE + b"a: b\r\n" * 101 + b"\r\n")
 
 
-def test_a_body_that_is_mostly_framing_is_turned_away() -> None:
+def test_chunked_body_that_is_mostly_framing_is_rejected() -> None:
     reader = MessageReader(True, ConnectionLimits())
-    reader.feed(b"POST / HTTP/1.1\r\n" + HOST + b"transfer-encoding: chunked\r\n\r\n")
+    reader.feed(b"POST / HTTP/1.1\r\n" + HOST_LINE + b"transfer-encoding: chunked\r\n\r\n")
     with pytest.raises(InvalidMessage, match="mostly framing"):
         for _ in range(20000):
             reader.feed(b"1;" + b"x" * 30 + b"\r\na\r\n")
 
 
 def test_pipelined_requests_are_read_one_after_the_other() -> None:
-    reader = MessageReader(True, BOUNDS)
-    reader.feed((b"GET /a HTTP/1.1\r\n" + HOST + b"\r\n") * 2 + b"\r\nGET /b HTTP/1.1\r\n" + HOST + b"\r\n")
-    seen = []
+    reader = MessageReader(True, LIMITS)
+    reader.feed(
+        (b"GET /a HTTP/1.1\r\n" + HOST_LINE + b"\r\n") * 2 + b"\r\nGET /b HTTP/1.1\r\n" + HOST_LINE + b"\r\n"
+    )
+    targets = []
     for _ in range(3):
-        seen.append(reader.request_read().target)
+        targets.append(reader.take_request().target)
         reader.reset()
         reader.feed(b"")
-    assert seen == [b"/a", b"/a", b"/b"] and not reader.begun
+    assert targets == [b"/a", b"/a", b"/b"] and not reader.begun
 
 
-def test_what_follows_a_chunked_request_in_one_read_ends_the_connection_after_it() -> None:
-    reader = MessageReader(True, BOUNDS)
-    reader.feed(CHUNKED + b"1\r\na\r\n0\r\n\r\nGET / HTTP/1.1\r\n")
-    found = reader.request_read()
-    assert found.body == b"a" and not found.keep_alive and found.target == b"/r"
+def test_bytes_after_a_chunked_request_in_the_same_read_disable_keep_alive() -> None:
+    reader = MessageReader(True, LIMITS)
+    reader.feed(CHUNKED_HEAD + b"1\r\na\r\n0\r\n\r\nGET / HTTP/1.1\r\n")
+    request = reader.take_request()
+    assert request.body == b"a" and not request.keep_alive and request.target == b"/r"
 
 
 @pytest.mark.parametrize(
-    ("data", "no_body", "body", "kept"),
+    ("data", "no_body", "body", "keep_alive"),
     [
         (b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", False, b"ok", True),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n", True, b"", True),
@@ -127,21 +129,24 @@
         (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", False, b"ok", True),
     ],
 )
-def test_answers(data: bytes, no_body: bool, body: bytes, kept: bool) -> None:
-    reader = MessageReader(False, BOUNDS)
+def test_responses_are_read(data: bytes, no_body: bool, body: bytes, keep_alive: bool) -> None:
+    reader = MessageReader(False, LIMITS)
     reader.reset(no_body)
     reader.feed(data)
     reader.end()
-    found = reader.response_read()
-    assert (found.body, found.keep_alive) == (body, kept)
+    response = reader.take_response()
+    assert (response.body, response.keep_alive) == (body, keep_alive)
 
 
-def test_half_an_answer_is_no_answer() -> None:
-    assert status(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhal", request=False) == 400
-    assert status(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhal", request=False) == 400
+def test_truncated_response_is_rejected() -> None:
+    assert rejection_status(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhal", is_request=False) == 400
+    assert (
+        rejection_status(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhal", is_request=False)
+        == 400
+    )
 
 
-def test_headers_of_one_connection_go_no_further() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     headers = [(b"connection", b"close, X-Hop"), (b"x-hop", b"1"), (b"te", b"trailers"), (b"x-end", b"2")]
     assert end_to_end(headers) == [(b"x-end", b"2")]
 
@@ -163,26 +168,29 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(*ANY_BYTES)
-def test_any_bytes_give_a_message_an_error_or_a_wait(
-    data: bytes, request: bool, cuts: list[int], start: bytes
+def test_any_bytes_give_the_same_result_however_they_are_split(
+    data: bytes, is_request: bool, split_points: list[int], prefix: bytes
 ) -> None:
-    any_bytes(data, request, cuts, start)
+    check_any_bytes(data, is_request, split_points, prefix)
+
 
+def check_any_bytes(data: bytes, is_request: bool, split_points: list[int], prefix: bytes) -> None:
+    """Check that the same bytes give the same result in one piece and split, under limits that bound memory.
 
-def any_bytes(data: bytes, request: bool, cuts: list[int], start: bytes) -> None:
-    """However the same bytes are cut, they come to the same end, and memory stays inside the bounds."""
-    ends = set()
-    whole = start + data
-    for places in ([], cuts):
-        reader = MessageReader(request, BOUNDS)
-        edges = sorted({0, len(whole), *(c % (len(whole) + 1) for c in places)})
+    The results may differ if one of them is a complete message.
+    """
+    results = set()
+    all_bytes = prefix + data
+    for points in ([], split_points):
+        reader = MessageReader(is_request, LIMITS)
+        boundaries = sorted({0, len(all_bytes), *(point % (len(all_bytes) + 1) for point in points)})
         try:
-            for a, b in pairwise(edges):
-                reader.feed(whole[a:b])
-            ends.add(("whole" if reader.complete else "waits", bytes(reader.url), reader.status))
+            for start, end in pairwise(boundaries):
+                reader.feed(all_bytes[start:end])
+            results.add(("complete" if reader.complete else "incomplete", bytes(reader.url), reader.status))
         except InvalidMessage:
-            ends.add(("bad", b"", 0))
-    assert len(ends) == 1 or any(end[0] == "whole" for end in ends)
+            results.add(("invalid", b"", 0))
+    assert len(results) == 1 or any(result[0] == "complete" for result in results)
 
 
 @settings(max_examples=100, derandomize=True, deadline=None)
@@ -192,15 +200,15 @@
     st.lists(st.tuples(st.sampled_from([b"a", b"x-b"]), st.sampled_from([b"", b"1", b"a b"])), max_size=4),
     st.lists(st.integers(0, 300), max_size=5),
 )
-def test_what_is_written_is_read_again(
-    method: bytes, body: bytes, headers: list[tuple[bytes, bytes]], cuts: list[int]
+def test_encoded_message_is_read_back_unchanged(
+    method: bytes, body: bytes, headers: list[tuple[bytes, bytes]], split_points: list[int]
 ) -> None:
-    found = read(encode_request(method, b"/p?q=1", [(b"host", b"x"), *headers], body), cuts)
-    assert (found.method, found.target, found.body) == (method, b"/p?q=1", body)
-    assert [h for h in found.headers if h[0] in (b"a", b"x-b")] == headers
-    reader = MessageReader(False, BOUNDS)
+    request = read_request(encode_request(method, b"/p?q=1", [(b"host", b"x"), *headers], body), split_points)
+    assert (request.method, request.target, request.body) == (method, b"/p?q=1", body)
+    assert [header for header in request.headers if header[0] in (b"a", b"x-b")] == headers
+    reader = MessageReader(False, LIMITS)
     reader.feed(encode_response(503, headers, body, keep_alive=False))
-    assert reader.response_read() == Response(
+    assert reader.take_response() == Response(
         503,
         [*headers, (b"content-length", b"%d" % len(body)), (b"connection", b"close")],
         body,
--- a/tests/platform/test_upstream_protocol.py
+++ b/tests/platform/test_upstream_protocol.py
@@ -68,7 +68,7 @@
     )
     reader = MessageReader(True, ConnectionLimits())
     reader.feed(protocol.encode_attempt(request, b"s-1", 0.0734))
-    assert reader.complete and reader.request_read() == Request(
+    assert reader.complete and reader.take_request() == Request(
         b"POST",
         b"/record?obj=4",
         [
