--- a/stepsail/membership/__init__.py
+++ b/stepsail/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of the fleet by SWIM with Lifeguard's extensions, without I/O."""
+"""Implements fleet membership by the SWIM protocol with Lifeguard's extensions. The package does no I/O."""
 
 from stepsail.membership.effective_members import EffectiveMembers
 from stepsail.membership.messages import InvalidMessageError
--- a/stepsail/membership/anti_entropy.py
+++ b/stepsail/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: member tables are compared by digests with one other member at a time, to find missed broadcasts."""
+"""Compares the member table with another member's by digests, to repair missed broadcasts (anti-entropy)."""
 
 from __future__ import annotations
 
@@ -10,48 +10,52 @@
 from stepsail.membership.parameters import DIGEST_BUCKETS, MAX_DATAGRAM_BYTES, MAX_RECORD_DATAGRAMS
 from stepsail.membership.records import MemberRecord
 
-REQUEST = 0  # `probe_id` of digests that ask for an answer
+# Values of `Message.probe_id` in DIGESTS messages.
+REQUEST = 0  # the receiver returns its own digests if any differ
 RESPONSE = 1
 
 
 class AntiEntropy:
-    """Compares this instance's table with others'.
+    """Compares this instance's member table with the tables of other members, one at a time.
 
     Attributes:
-        due: When the next comparison begins (s).
-        datagrams_left: Datagrams of records that may still be sent in this period.
+        due_at: When the next comparison begins (s); `inf` if none is scheduled.
+        datagrams_left: RECORDS messages that may still be sent in the current period.
     """
 
     def __init__(self, broadcaster: Broadcaster, table: MemberTable) -> None:
         self.broadcaster = broadcaster
         self.table = table
-        self.due = inf
+        self.due_at = inf
         self.datagrams_left = MAX_RECORD_DATAGRAMS
 
     def schedule_now(self) -> None:
-        """Begin a comparison with the next tick."""
-        self.due = self.broadcaster.now
+        """Schedule a comparison for the next tick."""
+        self.due_at = self.broadcaster.now
 
     def begin_period(self) -> None:
-        """Allow records to be sent again."""
+        """Reset the period's limit of RECORDS messages."""
         self.datagrams_left = MAX_RECORD_DATAGRAMS
 
     def begin(self) -> None:
-        """Send digests to a random member."""
-        self.due = inf
+        """Begin a comparison: send the digests of this table to a random present member."""
+        self.due_at = inf
         for member in self.broadcaster.sample(self.table.present_members(), 1):
             self._send_digests(member.record, REQUEST)
 
     def handle_digests(self, sender: MemberRecord, message: Message) -> None:
-        """Send the records of buckets that differ, from a random bucket on, as far as the period's limit allows."""
+        """Send the sender the records of the buckets whose digests differ.
+
+        The first bucket is chosen at random, because the period's limit may not suffice for all records.
+        """
         digests = self.table.digests()
         differing = [bucket for bucket in range(DIGEST_BUCKETS) if digests[bucket] != message.digests[bucket]]
         if not differing:
             return
         if message.probe_id == REQUEST:
-            self._send_digests(sender, RESPONSE)  # so that the sender sends its records as well
+            self._send_digests(sender, RESPONSE)  # so that the sender sends its records of these buckets too
         first = int(self.broadcaster.random() * len(differing))
-        rank = {bucket: (at - first) % len(differing) for at, bucket in enumerate(differing)}
+        rank = {bucket: (position - first) % len(differing) for position, bucket in enumerate(differing)}
         records = [
             record
             for record in self.table.records()
--- a/stepsail/membership/broadcast_queue.py
+++ b/stepsail/membership/broadcast_queue.py
@@ -1,4 +1,4 @@
-"""Records that wait to be piggybacked on outgoing messages, each a limited number of times (SWIM's dissemination)."""
+"""Queues records to piggyback on outgoing messages, each a limited number of times (SWIM's dissemination)."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class BroadcastQueue:
-    """At most one record for each instance; what was sent least often goes first.
+    """A queue of at most one record per instance; records with the most transmissions left are sent first.
 
     Attributes:
-        remaining: By instance, how often its record is still to be sent.
-        records: By instance, the record to send.
+        remaining: Transmissions left of each instance's record, by instance number.
+        records: The record to send, by instance number.
     """
 
     def __init__(self) -> None:
@@ -24,17 +24,20 @@
         return len(self.remaining)
 
     def add(self, record: MemberRecord, transmissions: int) -> None:
-        """Queue a record in place of the instance's earlier one."""
+        """Queue a record for this number of transmissions; it replaces an earlier record of the instance."""
         self.records[record.instance] = record
         self.remaining[record.instance] = transmissions
 
     def remove(self, instance: int) -> None:
-        """Send no more of an instance."""
+        """Remove the instance's record from the queue."""
         self.remaining.pop(instance, None)
         self.records.pop(instance, None)
 
     def take(self, max_bytes: int, excluded: Collection[int]) -> list[MemberRecord]:
-        """Return the records to send with one message, without those of the excluded instances."""
+        """Return records for one message, and count a transmission of each.
+
+        The records fit into `max_bytes` together; records of the excluded instances are left out.
+        """
         instances = [instance for instance in self.remaining if instance not in excluded]
         instances.sort(key=lambda instance: -self.remaining[instance])
         taken = fitting_records([self.records[instance] for instance in instances], max_bytes)
--- a/stepsail/membership/broadcaster.py
+++ b/stepsail/membership/broadcaster.py
@@ -1,4 +1,4 @@
-"""What all parts of one instance's membership share: own record, clock, randomness, health, outgoing messages."""
+"""Holds what all parts of an instance's protocol share: its record, clock, health and outgoing messages."""
 
 from __future__ import annotations
 
@@ -18,30 +18,37 @@
     fitting_records,
     record_size,
 )
-from stepsail.membership.parameters import MAX_DATAGRAM_BYTES, MAX_HEALTH_SCORE, PROBE_TIMEOUT, Timing
+from stepsail.membership.parameters import MAX_DATAGRAM_BYTES, MAX_HEALTH_SCORE, PROBE_TIMEOUT_PERIODS, Timing
 from stepsail.membership.records import MemberRecord, MemberState
 from stepsail.settings.model import Address
 
 
 class Broadcaster:
-    """Sends messages, and piggybacks broadcasts on them.
+    """Queues messages for sending, and piggybacks broadcasts on them.
 
     Attributes:
         local: This process's own record.
-        now: The local time (s); it never goes back.
-        health_score: Lifeguard's local health: 0 if this instance hears others well, higher if not.
-        sequence: Number of the last message sent.
+        timing: The protocol's timeouts.
+        cluster_id: Initial value of the checksum of datagrams; separates clusters.
+        random_seed: Seed of the pseudo-random numbers.
+        random_draws: Pseudo-random numbers drawn so far.
+        now: The local time (s); it never decreases.
+        health_score: Lifeguard's local health score: 0 if this instance is assumed to receive messages in
+            time; higher, up to `MAX_HEALTH_SCORE`, after signs that it does not.
+        sequence: Sequence number of the last message.
         probe_id: Number of the last probe.
-        queue: Records to piggyback.
-        datagrams: What is to be sent, with where to.
-        counters: Events by name, for the status page.
+        queue: Records to piggyback on messages.
+        datagrams: Destinations and datagrams that the caller has yet to send.
+        counters: Number of events by name, for the status page, whose readers rely on these names.
     """
 
-    def __init__(self, local: MemberRecord, seed: int, now: float, timing: Timing, cluster_id: int) -> None:
+    def __init__(
+        self, local: MemberRecord, random_seed: int, now: float, timing: Timing, cluster_id: int
+    ) -> None:
         self.local = local
         self.timing = timing
         self.cluster_id = cluster_id
-        self.seed = seed
+        self.random_seed = random_seed
         self.random_draws = 0
         self.now = now
         self.health_score = 0
@@ -52,34 +59,34 @@
         self.counters: Counter[str] = Counter()
 
     def advance_clock(self, now: float) -> None:
-        """Set the time; a clock that steps back stands still, so that nothing is due twice."""
+        """Set the local time; ignore a lower one, so that no timer expires twice if the clock steps back."""
         self.now = max(self.now, now)
 
     def random(self) -> float:
-        """Draw a number in [0, 1) from the seed and the number of draws so far."""
+        """Draw a pseudo-random number in [0, 1) from the seed and the number of draws so far."""
         self.random_draws += 1
-        return crc32(b"%d.%d" % (self.seed, self.random_draws)) / 2**32
+        return crc32(b"%d.%d" % (self.random_seed, self.random_draws)) / 2**32
 
     def sample(self, members: Sequence[Member], count: int) -> list[Member]:
-        """Draw so many of the members, without repetition."""
+        """Draw `count` of the members at random without repetition, or all of them if there are fewer."""
         remaining = list(members)
         return [remaining.pop(int(self.random() * len(remaining))) for _ in range(min(count, len(remaining)))]
 
     # Local health (Lifeguard)
 
     def change_health(self, difference: int) -> None:
-        """Raise or lower the health score within its bounds."""
+        """Add `difference` to the health score, within the score's bounds."""
         self.health_score = min(MAX_HEALTH_SCORE, max(0, self.health_score + difference))
 
     @property
     def health_multiplier(self) -> float:
-        """Factor for timeouts: an instance that hears badly judges others more slowly."""
+        """Factor of timeouts; an instance that seems to miss messages gives others more time (Lifeguard)."""
         return 1.0 + self.health_score
 
     @property
     def probe_timeout(self) -> float:
-        """Seconds that the answer to a direct probe may take."""
-        return PROBE_TIMEOUT * self.timing.period * self.health_multiplier
+        """Time (s) within which a direct probe must be answered before helpers are asked."""
+        return PROBE_TIMEOUT_PERIODS * self.timing.period * self.health_multiplier
 
     # Messages
 
@@ -94,43 +101,53 @@
         first_records: Sequence[MemberRecord] = (),
         records: Sequence[MemberRecord] | None = None,
     ) -> None:
-        """Queue a datagram with this process's record, `first_records` and either `records` or broadcasts."""
+        """Queue a datagram for sending.
+
+        It carries this process's own record and `first_records`, and, as far as they fit, `records`, or
+        queued broadcasts if `records` is None.
+        """
         self.sequence += 1
-        sent = [self.local, *first_records]
+        outgoing = [self.local, *first_records]
         max_bytes = (
             MAX_DATAGRAM_BYTES
             - HEADER_BYTES
             - DIGEST_BYTES * len(digests)
-            - sum(record_size(record) for record in sent)
+            - sum(record_size(record) for record in outgoing)
         )
         if records is None:
-            sent += self.queue.take(max_bytes, {record.instance for record in sent})
+            outgoing += self.queue.take(max_bytes, {record.instance for record in outgoing})
         else:
-            sent += fitting_records(records, max_bytes)
-        message = Message(VERSION, kind, self.sequence, probe_id, target, target_address, list(digests), sent)
+            outgoing += fitting_records(records, max_bytes)
+        message = Message(
+            VERSION, kind, self.sequence, probe_id, target, target_address, list(digests), outgoing
+        )
         self.datagrams.append((to, encode(self.cluster_id, message)))
         self.counters["sent"] += 1
 
     def next_probe_id(self) -> int:
-        """Return the number of a new probe."""
+        """Allocate the number of a new probe."""
         self.probe_id += 1
         return self.probe_id
 
     def ping(self, member: Member) -> int:
-        """Probe a member and return the probe's number."""
+        """Send a PING to a member, and return the probe's number."""
         probe_id = self.next_probe_id()
         self.send(
             member.record.address,
             MessageKind.PING,
             probe_id,
             member.record.instance,
-            first_records=suspicion_of(member),
+            first_records=records_to_refute(member),
         )
         return probe_id
 
 
-def suspicion_of(member: Member | None) -> tuple[MemberRecord, ...]:
-    """The record to send to a member that is not alive here, so that it can refute it at once (Lifeguard)."""
+def records_to_refute(member: Member | None) -> tuple[MemberRecord, ...]:
+    """Return the record to send to a member whose state is not ALIVE here; empty for other members.
+
+    The member learns from the record that it is regarded as suspect or dead, and can refute that at once
+    (Lifeguard).
+    """
     if member is None or member.record.state is MemberState.ALIVE:
         return ()
     return (member.record,)
--- a/stepsail/membership/effective_members.py
+++ b/stepsail/membership/effective_members.py
@@ -1,4 +1,4 @@
-"""Which members the router's decisions count with."""
+"""Selects the members on which the router's decisions are based."""
 
 from __future__ import annotations
 
@@ -6,28 +6,35 @@
 
 
 class EffectiveMembers:
-    """Follows a view, but only where this instance can rely on it. `configured_count`: instances in the settings."""
+    """Follows the membership view, but only while this instance can rely on it.
+
+    Attributes:
+        configured_count: Number of instances in the settings.
+        has_settled: Whether any view so far was settled and had another present member.
+        present: Instance numbers of the present members of the last view that was adopted, in order.
+    """
 
     def __init__(self, configured_count: int) -> None:
         self.configured_count = configured_count
-        self.settled_once = False
+        self.has_settled = False
         self.present: tuple[int, ...] = ()
 
     def update(self, view: MembershipView) -> tuple[int, ...] | None:
-        """Return the present instances, in order, if they have changed; None if all stays as it was.
+        """Return the numbers of the present instances, in order, if they have changed; otherwise None.
 
-        A view counts only after it has settled once with another member, and while it has a majority of the
-        configured instances and of all known ones. The minority side of a partition cannot know whether the others
-        have died; if each side counted itself as the fleet, each would use all of the servers' capacity and judge
-        builds by its few requests. So where over half of the fleet has died, its share is not taken over until the
-        settings change.
+        A view is adopted only after a view with another present member has once been settled, and only if the
+        present members are a majority both of the configured instances and of all known members. The minority
+        side of a partition cannot know whether the other instances have died. If each side regarded itself as
+        the whole fleet, each would use all of the servers' capacity, and would judge builds by its few
+        requests. So if more than half of the fleet has died, the remaining instances do not take over its
+        share until the settings change.
         """
         present = tuple(member.instance for member in view.members)
         if view.settled and len(present) > 1:
-            self.settled_once = True
+            self.has_settled = True
         known_count = len(present) + len(view.dead)
         has_majority = 2 * len(present) > max(self.configured_count, known_count)
-        if not self.settled_once or not has_majority or view.displaced or present == self.present:
+        if not self.has_settled or not has_majority or view.displaced or present == self.present:
             return None
         self.present = present
         return present
--- a/stepsail/membership/envelope.py
+++ b/stepsail/membership/envelope.py
@@ -1,7 +1,8 @@
-"""Envelopes for other datagrams on the membership's port: gossip about builds, and messages on policies.
+"""Wraps the other kinds of datagram on the membership port: gossip about builds, and policy messages.
 
-An envelope is a mark of four bytes, a checksum that starts with the cluster's id, and the body. A datagram of the
-membership protocol itself begins with its checksum, which equals a mark once in 2^32.
+An envelope consists of a magic number of four bytes that states the kind, a CRC-32 checksum computed with the
+cluster's id as its initial value, and the body. Datagrams of the membership protocol itself have no envelope.
+They begin with their checksum, which happens to equal a given magic number in one of 2^32 datagrams.
 """
 
 from __future__ import annotations
@@ -11,54 +12,55 @@
 
 from stepsail.membership.messages import CHECKSUM_BYTES, InvalidMessageError
 
-GOSSIP_MARK = b"tell"
-POLICY_MARK = b"rule"
-MARK_BYTES = 4
+GOSSIP_MAGIC = b"tell"
+POLICY_MAGIC = b"rule"
+MAGIC_LENGTH = 4
 INSTANCE_BYTES = 4
 START_TIME_BYTES = 8
 
 
-class Gossip(NamedTuple):
-    """A gossip datagram: which process sent it, and its text."""
+class GossipDatagram(NamedTuple):
+    """Holds a received gossip datagram: the instance number and start time of its sender, and its text."""
 
     instance: int
     start_time: int
     text: bytes
 
 
-def seal(mark: bytes, cluster_id: int, body: bytes) -> bytes:
-    """Put a body into an envelope."""
-    return mark + crc32(body, cluster_id).to_bytes(CHECKSUM_BYTES, "big") + body
+def encode_envelope(magic: bytes, cluster_id: int, body: bytes) -> bytes:
+    """Return an envelope that contains `body`; `magic` states the kind of datagram."""
+    return magic + crc32(body, cluster_id).to_bytes(CHECKSUM_BYTES, "big") + body
 
 
-def unseal(cluster_id: int, data: bytes, min_length: int) -> bytes:
+def decode_envelope(cluster_id: int, data: bytes, min_length: int) -> bytes:
     """Return the body of an envelope.
 
     Raises:
-        InvalidMessageError: The checksum differs, or the body is shorter than `min_length`.
+        InvalidMessageError: The checksum is not valid for this cluster, or the body is shorter than
+            `min_length`.
     """
-    body = data[MARK_BYTES + CHECKSUM_BYTES :]
-    checksum = int.from_bytes(data[MARK_BYTES : MARK_BYTES + CHECKSUM_BYTES], "big")
+    body = data[MAGIC_LENGTH + CHECKSUM_BYTES :]
+    checksum = int.from_bytes(data[MAGIC_LENGTH : MAGIC_LENGTH + CHECKSUM_BYTES], "big")
     if len(body) < min_length or crc32(body, cluster_id) != checksum:
-        raise InvalidMessageError("expected a whole datagram of this cluster")
+        raise InvalidMessageError("the datagram is too short, or its checksum is not valid for this cluster")
     return body
 
 
-def seal_gossip(cluster_id: int, instance: int, start_time: int, text: bytes) -> bytes:
-    """Put gossip from the given process into an envelope."""
+def encode_gossip(cluster_id: int, instance: int, start_time: int, text: bytes) -> bytes:
+    """Return an envelope that contains the sender's instance number and start time and the gossip's text."""
     sender = instance.to_bytes(INSTANCE_BYTES, "big") + start_time.to_bytes(START_TIME_BYTES, "big")
-    return seal(GOSSIP_MARK, cluster_id, sender + text)
+    return encode_envelope(GOSSIP_MAGIC, cluster_id, sender + text)
 
 
-def unseal_gossip(cluster_id: int, data: bytes) -> Gossip:
+def decode_gossip(cluster_id: int, data: bytes) -> GossipDatagram:
     """Return the sender and the text of a gossip datagram.
 
     Raises:
-        InvalidMessageError: It is not a whole datagram of this cluster.
+        InvalidMessageError: The datagram is truncated or corrupted, or comes from another cluster.
     """
-    body = unseal(cluster_id, data, INSTANCE_BYTES + START_TIME_BYTES)
+    body = decode_envelope(cluster_id, data, INSTANCE_BYTES + START_TIME_BYTES)
     text_start = INSTANCE_BYTES + START_TIME_BYTES
-    return Gossip(
+    return GossipDatagram(
         int.from_bytes(body[:INSTANCE_BYTES], "big"),
         int.from_bytes(body[INSTANCE_BYTES:text_start], "big"),
         body[text_start:],
--- a/stepsail/membership/failure_detector.py
+++ b/stepsail/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: a probe each period, indirect probes through others, suspicion of the unresponsive."""
+"""Implements SWIM's failure detector: direct probes, indirect probes through helpers, and suspicion."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of the present period.
+    """The regular probe of the current period.
 
     Attributes:
         target: The probed process.
-        probe_id: Its number.
-        sent_at: When it was sent (s).
-        silent_helpers: Helpers that have sent neither ACK nor NACK.
-        helpers_asked: Whether helpers were asked.
-        answered: Whether the target has answered, to this instance or to a helper.
-        received_any: Whether any message was received since.
+        probe_id: Number of the probe.
+        sent_at: When the probe was sent (s).
+        silent_helpers: Numbers of the helpers that were asked and have not sent NACK.
+        helpers_asked: Whether helpers were asked to probe the target.
+        answered: Whether the target has answered, directly or through a helper.
+        received_any: Whether any message from any member was received since the probe was sent.
     """
 
     target: ProcessId
@@ -38,35 +38,35 @@
 
     @property
     def awaits_direct_answer(self) -> bool:
-        """Whether helpers are asked if no answer comes in time."""
+        """Whether helpers are to be asked if the target does not answer in time."""
         return not (self.helpers_asked or self.answered)
 
 
 @dataclass(slots=True)
 class MissedProbe:
-    """A member that missed a probe and is probed again before it is suspected.
+    """A probe that was not answered; its target is probed again before it is suspected.
 
     Attributes:
-        process: The probed process.
-        since: When the missed probe was sent (s).
-        retries_left: Periods in which it is probed again.
-        broadcast: Whether others are told of the suspicion that may follow.
+        target: The probed process.
+        sent_at: When the missed probe was sent (s).
+        retries_left: Number of periods in which the target is still to be probed again.
+        broadcast: Whether a suspicion of the target is to be broadcast.
     """
 
-    process: ProcessId
-    since: float
+    target: ProcessId
+    sent_at: float
     retries_left: int
     broadcast: bool
 
 
 class FailureDetector:
-    """Probes the members in turn.
+    """Probes the members in turn, and suspects those that do not answer.
 
     Attributes:
-        seeds: Addresses where other members may be found.
-        probe: The probe of the present period.
-        isolated_probes: Probes in a row during which nobody was heard.
-        missed: By instance, members that missed a probe and are not suspected yet.
+        seeds: Addresses at which other members may be reached.
+        probe: The regular probe of the current period; None if there is none.
+        isolated_probes: Number of consecutive probes that failed without any message from any member.
+        missed_probes: Missed probes whose targets are being probed again, by the target's instance number.
     """
 
     def __init__(self, broadcaster: Broadcaster, table: MemberTable, seeds: Sequence[Address]) -> None:
@@ -75,34 +75,34 @@
         self.seeds = tuple(seeds)
         self.probe: Probe | None = None
         self.isolated_probes = 0
-        self.missed: dict[int, MissedProbe] = {}
+        self.missed_probes: dict[int, MissedProbe] = {}
 
     def deadlines(self) -> list[float]:
-        """When helpers are to be asked (s)."""
+        """Return the time (s) at which helpers are to be asked, if any."""
         if self.probe and self.probe.awaits_direct_answer:
             return [self.probe.sent_at + self.broadcaster.probe_timeout]
         return []
 
     def cancel_all(self) -> None:
-        """Drop all probes: this process was paused, so a missing answer means nothing."""
+        """Cancel all probes, because after a pause of this process a missing answer proves nothing."""
         self.probe = None
-        self.missed = {}
+        self.missed_probes = {}
 
-    # A period
+    # Periods
 
     def begin_period(self) -> None:
-        """Probe the next member, members that missed a probe, and some suspects."""
+        """Probe the next member in turn, the members that missed a probe, and some suspects."""
         target = self.table.next_probe_target()
         if target is not None:
             self.probe = Probe(target.process_id, self.broadcaster.ping(target), self.broadcaster.now)
-        self._retry_missed()
+        self._retry_missed_probes()
         probed = self.probe.target if self.probe else None
         suspects = [member for member in self.table.suspects.values() if member.process_id != probed]
         for member in self.broadcaster.sample(suspects, PROBED_SUSPECTS):
             self.broadcaster.ping(member)
 
     def ask_helpers(self) -> None:
-        """Ask other members to probe the target if it has not answered in time."""
+        """Ask helpers to probe the target if it has not answered the direct probe in time."""
         probe = self.probe
         broadcaster = self.broadcaster
         if probe is None or not probe.awaits_direct_answer:
@@ -129,66 +129,67 @@
             )
 
     def end_period(self) -> None:
-        """Judge the period's probe."""
+        """Evaluate the period's probe: if it was not answered, suspect the target or probe it again."""
         probe = self.probe
         self.probe = None
         if probe is None or probe.answered:
             self.isolated_probes = 0
             return
-        self._count_isolation(probe)
-        # Lifeguard: helpers that do not even answer NACK tell of this instance's own connection.
+        self._suspect_all_if_isolated(probe)
+        # Lifeguard: if not even NACKs arrive from helpers, this instance's own connection is probably faulty.
         if probe.silent_helpers or not probe.received_any:
             self.broadcaster.change_health(1)
         member = self.table.members.get(probe.target.instance)
         if member and member.process_id == probe.target and member.present:
-            self._probe_failed(probe, member)
+            self._handle_failed_probe(probe, member)
 
-    def _count_isolation(self, probe: Probe) -> None:
-        """Suspect all members once nobody was heard for several probes.
+    def _suspect_all_if_isolated(self, probe: Probe) -> None:
+        """Suspect all members if no message was received during `ISOLATION_PROBES` failed probes in a row.
 
-        A last survivor need not wait until each dead member has been probed. As the instance may as well be cut off
-        itself, the suspicion is not broadcast.
+        If all other members have crashed, the only survivor need not wait until it has probed each of them.
+        As this instance may instead be cut off itself, the suspicions are not broadcast.
         """
         self.isolated_probes = 0 if probe.received_any else self.isolated_probes + 1
         if self.isolated_probes < ISOLATION_PROBES:
             return
         for member in list(self.table.members.values()):
             if member.present and not member.suspicion:
-                self._suspect(member, "no message from any member", broadcast=False)
+                self._suspect(member, "no message received from any member", broadcast=False)
 
-    def _probe_failed(self, probe: Probe, member: Member) -> None:
-        """Suspect the target, in a large fleet after further probes.
+    def _handle_failed_probe(self, probe: Probe, member: Member) -> None:
+        """Suspect the target of a failed probe; in a large fleet, probe it again first.
 
-        An instance that hears nobody keeps its suspicions to itself: the others may hear it all the same.
+        If no message was received during the probe, the suspicion is not broadcast: this instance may be
+        unable to receive messages while the others still receive the messages that it sends.
         """
         retries = self.broadcaster.timing.probe_retries(self.table.present_count)
         if retries and not member.suspicion:
             missed = MissedProbe(probe.target, probe.sent_at, retries, probe.received_any)
-            self.missed.setdefault(probe.target.instance, missed)
+            self.missed_probes.setdefault(probe.target.instance, missed)
         else:
-            self._suspect(member, "no answer", broadcast=probe.received_any)
+            self._suspect(member, "no answer to a probe", broadcast=probe.received_any)
 
-    def _retry_missed(self) -> None:
-        """Probe members again that missed a probe; suspect those that have not answered the last retry."""
-        for instance, missed in list(self.missed.items()):
+    def _retry_missed_probes(self) -> None:
+        """Probe again the members that missed a probe; suspect those that have not answered any retry."""
+        for instance, missed in list(self.missed_probes.items()):
             member = self.table.members.get(instance)
-            if member is None or self._is_settled(member, missed):
-                del self.missed[instance]
+            if member is None or self._is_resolved(member, missed):
+                del self.missed_probes[instance]
             elif missed.retries_left > 0:
                 missed.retries_left -= 1
                 self.broadcaster.ping(member)
             else:
-                del self.missed[instance]
-                self._suspect(member, "no answer", broadcast=missed.broadcast)
+                del self.missed_probes[instance]
+                self._suspect(member, "no answer to repeated probes", broadcast=missed.broadcast)
 
     @staticmethod
-    def _is_settled(member: Member, missed: MissedProbe) -> bool:
-        """Whether the member has answered since, or is suspected, gone or replaced anyway."""
+    def _is_resolved(member: Member, missed: MissedProbe) -> bool:
+        """Return whether retries can end: the member has answered, is suspect or absent, or was replaced."""
         return (
-            member.process_id != missed.process
+            member.process_id != missed.target
             or not member.present
             or member.suspicion is not None
-            or member.last_ack >= missed.since
+            or member.last_ack >= missed.sent_at
         )
 
     def _suspect(self, member: Member, reason: str, broadcast: bool) -> None:
@@ -197,12 +198,12 @@
     # Received messages
 
     def note_message(self) -> None:
-        """Some member was heard."""
+        """Note that a message from some member was received."""
         if self.probe:
             self.probe.received_any = True
 
     def handle_ack(self, member: Member, ack: Message) -> bool:
-        """Note an answer; return whether it is the sender's own and not a helper's."""
+        """Handle an ACK; return whether the member sent it for itself, rather than as a helper."""
         is_own = ack.target == member.record.instance
         if is_own:
             member.last_ack = self.broadcaster.now
@@ -218,14 +219,14 @@
         return is_own
 
     def handle_nack(self, helper: int, nack: Message) -> None:
-        """A helper has no answer either, but this instance can hear the helper."""
+        """Handle a NACK: the target has not answered the helper, but the helper's messages arrive here."""
         if self.probe and self.probe.probe_id == nack.probe_id:
             self.probe.silent_helpers.discard(helper)
 
     # Dead members and seeds
 
     def probe_dead(self) -> None:
-        """Probe a dead member, or a seed if there is none: finds out that a partition has healed."""
+        """Probe a random dead member, or a seed if none is dead, to detect that a partition has healed."""
         dead = self.table.dead_members()
         for member in self.broadcaster.sample(dead, 1):
             self.broadcaster.ping(member)
@@ -233,7 +234,7 @@
             self.probe_seeds(1)
 
     def probe_seeds(self, count: int) -> None:
-        """Probe so many of the seeds at which no present member is known."""
+        """Probe up to `count` random seeds at whose addresses no present member is known."""
         broadcaster = self.broadcaster
         known = {member.record.address for member in self.table.present_members()}
         candidates = [seed for seed in self.seeds if seed not in known]
--- a/stepsail/membership/indirect_probe.py
+++ b/stepsail/membership/indirect_probe.py
@@ -1,19 +1,26 @@
-"""Indirect probes: this instance probes a member for another one (SWIM's ping-req)."""
+"""Probes a member on behalf of another instance, the requester (SWIM's ping-req)."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from stepsail.membership.broadcaster import Broadcaster, suspicion_of
+from stepsail.membership.broadcaster import Broadcaster, records_to_refute
 from stepsail.membership.member_table import MemberTable
 from stepsail.membership.messages import Message, MessageKind
-from stepsail.membership.parameters import HELPER_TIMEOUT, MAX_INDIRECT_PROBES
+from stepsail.membership.parameters import HELPER_TIMEOUT_FACTOR, MAX_INDIRECT_PROBES
 from stepsail.settings.model import Address
 
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """A probe for another instance. `probe_id` is the requester's; `deadline`: when NACK is sent (s)."""
+    """A probe on behalf of another instance.
+
+    Attributes:
+        requester: Address of the instance that requested the probe.
+        probe_id: The number that the requester gave the probe.
+        target: Number of the probed instance.
+        deadline: When NACK is sent if the target has not answered (s).
+    """
 
     requester: Address
     probe_id: int
@@ -22,7 +29,11 @@
 
 
 class IndirectProber:
-    """Probes for other instances that are under way, by this instance's own probe id."""
+    """Runs the indirect probes that other instances have requested.
+
+    Attributes:
+        probes: The probes that are not answered yet, by the number that this instance gave them.
+    """
 
     def __init__(self, broadcaster: Broadcaster, table: MemberTable) -> None:
         self.broadcaster = broadcaster
@@ -30,21 +41,21 @@
         self.probes: dict[int, IndirectProbe] = {}
 
     def deadlines(self) -> list[float]:
-        """When probes expire (s)."""
+        """Return the times (s) at which the unanswered probes expire."""
         return [probe.deadline for probe in self.probes.values()]
 
     def cancel_all(self) -> None:
-        """Drop all probes: this process was paused, so a missing answer means nothing."""
+        """Cancel all probes, because after a pause of this process a missing answer proves nothing."""
         self.probes = {}
 
     def start(self, requester: Address, request: Message, target_address: Address) -> None:
-        """Probe the requested member, unless too many probes are under way."""
+        """Probe the requested target, unless it is this instance or too many probes are unanswered."""
         broadcaster = self.broadcaster
         if len(self.probes) >= MAX_INDIRECT_PROBES or request.target == broadcaster.local.instance:
-            broadcaster.counters["errands refused"] += 1
+            broadcaster.counters["errands refused"] += 1  # rejected requests for indirect probes
             return
         probe_id = broadcaster.next_probe_id()
-        deadline = broadcaster.now + broadcaster.probe_timeout * HELPER_TIMEOUT
+        deadline = broadcaster.now + broadcaster.probe_timeout * HELPER_TIMEOUT_FACTOR
         self.probes[probe_id] = IndirectProbe(requester, request.probe_id, request.target, deadline)
         known_target = self.table.members.get(request.target)
         broadcaster.send(
@@ -52,18 +63,18 @@
             MessageKind.PING,
             probe_id,
             request.target,
-            first_records=suspicion_of(known_target),
+            first_records=records_to_refute(known_target),
         )
 
     def handle_ack(self, sender: int, ack: Message) -> None:
-        """Pass the target's own answer on to the requester."""
+        """Send an ACK to the requester if this ACK is the target's own answer to an indirect probe."""
         probe = self.probes.get(ack.probe_id)
         if probe and ack.target == sender == probe.target:
             del self.probes[ack.probe_id]
             self.broadcaster.send(probe.requester, MessageKind.ACK, probe.probe_id, probe.target)
 
     def expire(self) -> None:
-        """Answer NACK for probes without an answer in time."""
+        """Send NACK to the requesters of probes that the target has not answered in time."""
         now = self.broadcaster.now
         expired = [(probe_id, probe) for probe_id, probe in self.probes.items() if now >= probe.deadline]
         for probe_id, probe in expired:
--- a/stepsail/membership/local_member.py
+++ b/stepsail/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This instance as others see it: refutations, and conflicts about its number."""
+"""Handles records of this instance from other members: refutations, and conflicts of instance numbers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberConflict:
-    """A later process is said to have this instance's number. `probe_id`: of the probes that it has to answer."""
+    """A report that a later process has this instance's number, which is being verified by probes.
+
+    Attributes:
+        other: Record of the later process.
+        probe_id: Number of the probes that the later process must answer.
+        deadline: When the later process is assumed to have ended if it has not answered (s).
+    """
 
     other: MemberRecord
     probe_id: int
@@ -22,12 +28,13 @@
 
 
 class LocalMember:
-    """This process's place among the members.
+    """Maintains this process's own membership.
 
     Attributes:
-        joined: Another member has answered.
-        displaced: A later process with the same number has answered: this one stops taking part.
-        conflict: Set while it is not known whether such a process exists.
+        joined: Whether any other member has answered a probe of this process.
+        displaced: Whether a later process with this instance's number has answered a probe. This process then
+            no longer takes part in the protocol.
+        conflict: The reported later process with this instance's number; None if there is none to verify.
     """
 
     def __init__(self, broadcaster: Broadcaster, table: MemberTable) -> None:
@@ -38,31 +45,39 @@
         self.conflict: NumberConflict | None = None
 
     def handle_claim(self, claim: MemberRecord) -> None:
-        """Refute what another member says of this instance's number, unless a later process may have it."""
+        """Handle a record with this instance's number from another member.
+
+        A wrong record of this process is refuted. A record of a later process is verified by probing that
+        process, unless a reset of the local clock explains it.
+        """
         broadcaster = self.broadcaster
         local = broadcaster.local
         if claim.start_time == local.start_time:
             self._refute_if_needed(claim)
         elif claim.start_time < local.start_time:
-            if claim.state in PRESENT_STATES:  # somebody still knows an earlier process
+            if claim.state in PRESENT_STATES:  # the member does not know yet that this process has started
                 broadcaster.queue.add(local, self.table.transmissions)
         elif not self.joined or claim.state not in PRESENT_STATES or claim.address == local.address:
-            # The clock was set back before this start: the other process was at this address, has ended, or this one
-            # is only joining. It takes a start time above the other's.
+            # The clock was set back before this process started, so that an earlier process has the higher
+            # start time. This is assumed if this process is still joining, or if the other process has ended
+            # or had the same address. This process then takes a start time above the other's.
             self._announce(claim.start_time + 1, 0, "an earlier process had a later start time")
         elif self.conflict is None or claim.start_time > self.conflict.other.start_time:
             self.conflict = NumberConflict(claim, broadcaster.next_probe_id(), self._conflict_deadline())
-            self.probe_conflict()
+            self.probe_conflicting_process()
 
     def _refute_if_needed(self, claim: MemberRecord) -> None:
-        """Raise the incarnation if this process is not said to be alive, or a higher incarnation is known."""
+        """Raise the incarnation if another member's record of this process must be refuted.
+
+        The record must be refuted if its incarnation is higher, or equal and its state is not ALIVE.
+        """
         local = self.broadcaster.local
         is_newer = claim.incarnation > local.incarnation
         is_refutable = claim.incarnation == local.incarnation and claim.state is not MemberState.ALIVE
         if is_newer or is_refutable:
             if claim.state is MemberState.SUSPECT:
                 self.broadcaster.change_health(1)
-            reason = f"refuted being {claim.state.name.lower()}"
+            reason = f"refuted the report that it is {claim.state.name.lower()}"
             self._announce(claim.start_time, claim.incarnation + 1, reason)
 
     def _announce(self, start_time: int, incarnation: int, reason: str) -> None:
@@ -76,38 +91,38 @@
             MemberChange(local.instance, start_time, MemberState.ALIVE, MemberState.ALIVE, reason)
         )
 
-    # Conflicts about the number
+    # Conflicts of instance numbers
 
     def _conflict_deadline(self) -> float:
         return self.broadcaster.now + CONFLICT_PERIODS * self.broadcaster.timing.period
 
-    def extend_conflict(self) -> None:
-        """This process was paused, and could not hear the other's answer: wait for it anew."""
+    def extend_conflict_deadline(self) -> None:
+        """Restart the deadline, because a paused process cannot receive the other process's answer."""
         if self.conflict:
             self.conflict = replace(self.conflict, deadline=self._conflict_deadline())
 
-    def probe_conflict(self) -> None:
-        """Probe the later process; if it does not answer in time, its number is this process's."""
+    def probe_conflicting_process(self) -> None:
+        """Probe the reported later process; if it has not answered by the deadline, keep the number."""
         if self.conflict is None:
             return
         other = self.conflict.other
         if self.broadcaster.now >= self.conflict.deadline:
             self.conflict = None
-            self._announce(other.start_time + 1, 0, "the later process does not answer")
+            self._announce(other.start_time + 1, 0, "the process with the later start time does not answer")
         else:
             self.broadcaster.send(other.address, MessageKind.PING, self.conflict.probe_id, other.instance)
 
     def handle_same_number(self, sender: MemberRecord, message: Message) -> None:
-        """Handle a message from a process with this instance's number."""
+        """Handle a message whose sender has this instance's number."""
         broadcaster = self.broadcaster
         local = broadcaster.local
         if sender.start_time == local.start_time:
-            broadcaster.counters["own words"] += 1
+            broadcaster.counters["own words"] += 1  # a datagram of this process that came back to it
         elif sender.start_time < local.start_time:
             broadcaster.counters["earlier"] += 1
             self._acknowledge(sender, message)
         elif self.conflict and message.kind is MessageKind.ACK and message.probe_id == self.conflict.probe_id:
-            self._step_back(sender)
+            self._become_displaced(sender)
         else:
             self.handle_claim(sender)
             self._acknowledge(sender, message)
@@ -117,10 +132,10 @@
             instance = self.broadcaster.local.instance
             self.broadcaster.send(sender.address, MessageKind.ACK, message.probe_id, instance)
 
-    def _step_back(self, sender: MemberRecord) -> None:
+    def _become_displaced(self, sender: MemberRecord) -> None:
         self.displaced = True
         self.conflict = None
-        reason = "another process has this number, and started later"
+        reason = "another process with this instance number started later"
         self.table.note_change(
             MemberChange(sender.instance, sender.start_time, MemberState.ALIVE, MemberState.LEFT, reason)
         )
--- a/stepsail/membership/member.py
+++ b/stepsail/membership/member.py
@@ -1,4 +1,4 @@
-"""What an instance keeps of each other member, and how long it suspects it."""
+"""Holds the state that an instance keeps for each other member, including the suspicion timeout."""
 
 from __future__ import annotations
 
@@ -11,38 +11,43 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """When a suspicion began, and which instances reported it."""
+    """Records when a member was first suspected and which instances have reported the suspicion."""
 
     started_at: float
     reporters: set[int] = field(default_factory=set)
 
     def expires_at(self, timing: Timing, fleet_size: int, last_ack: float) -> float:
-        """When the suspect is declared dead; each independent report brings that nearer (Lifeguard).
+        """Return the time (s) at which the suspect is declared dead.
 
-        The time counts from the suspect's last answer to this instance: a refutation may be lost while answers come.
+        Each report by another instance shortens the timeout (Lifeguard). The timeout starts anew with each
+        ACK that the suspect sends to this instance: the suspect's refutation may be lost although its ACKs
+        arrive.
         """
         minimum, maximum = timing.suspicion_timeouts(fleet_size)
-        expected = min(MAX_CONFIRMATIONS, fleet_size - 2)  # no more members can confirm
+        # Neither the first reporter nor the suspect itself can confirm the suspicion.
+        max_confirmations = min(MAX_CONFIRMATIONS, fleet_size - 2)
         confirmations = len(self.reporters) - 1
-        if expected < 1:
+        if max_confirmations < 1:
             timeout = minimum
         else:
-            timeout = max(minimum, maximum - (maximum - minimum) * log(confirmations + 1) / log(expected + 1))
+            timeout = max(
+                minimum, maximum - (maximum - minimum) * log(confirmations + 1) / log(max_confirmations + 1)
+            )
         return max(self.started_at, last_ack) + timeout
 
 
 @dataclass(slots=True)
 class Member:
-    """One other member; all times are on the local clock (s).
+    """The state of one other member. All times are readings of the local clock (s).
 
     Attributes:
-        record: The record that takes precedence at present.
-        state_since: When the member entered its state.
-        present_since: Since when it has been alive or suspect without a break.
-        suspicion: Set while it is suspect.
-        last_ack: When it last answered a probe of this instance.
-        highest_sequence: Highest sequence number of the process's messages.
-        received: Bit n is set if the message n before the highest one was received.
+        record: The record of the member with the highest precedence that this instance knows.
+        state_since: When the member entered its current state.
+        present_since: Since when the member has been alive or suspect without interruption.
+        suspicion: The suspicion of the member; None if the member is not suspect.
+        last_ack: When this instance last received an ACK that the member sent for itself.
+        highest_sequence: Highest sequence number received from the member's process; -1 if none was.
+        received_bitmap: Bit n is set if the message numbered `highest_sequence` - n was received.
     """
 
     record: MemberRecord
@@ -51,7 +56,7 @@
     suspicion: Suspicion | None = None
     last_ack: float = -inf
     highest_sequence: int = -1
-    received: int = 0
+    received_bitmap: int = 0
 
     @property
     def present(self) -> bool:
@@ -60,26 +65,33 @@
 
     @property
     def process_id(self) -> ProcessId:
-        """Which process the member is."""
+        """The id of the process that the member's record describes."""
         return self.record.process_id
 
     def accept_sequence(self, sequence: int) -> bool:
-        """Note a message; False for one that was received before or is too old to tell (duplicates, replays)."""
+        """Add a message's sequence number to the replay window, and return whether to handle the message.
+
+        False for a duplicate or a replay: a message that was received before, or one that is too old for the
+        window to show whether it was received before.
+        """
         ahead = sequence - self.highest_sequence
         if ahead > 0:
             if ahead < REPLAY_WINDOW:
-                self.received = (self.received << ahead | 1) & ((1 << REPLAY_WINDOW) - 1)
+                self.received_bitmap = (self.received_bitmap << ahead | 1) & ((1 << REPLAY_WINDOW) - 1)
             else:
-                self.received = 1
+                self.received_bitmap = 1
             self.highest_sequence = sequence
             return True
-        if -ahead >= REPLAY_WINDOW or self.received >> -ahead & 1:
+        if -ahead >= REPLAY_WINDOW or self.received_bitmap >> -ahead & 1:
             return False
-        self.received |= 1 << -ahead
+        self.received_bitmap |= 1 << -ahead
         return True
 
-    def reset_process(self) -> None:
-        """The member is another process now: its messages are numbered anew, and it has answered no probe."""
+    def reset_for_new_process(self) -> None:
+        """Reset the fields that describe one process only, because the member is now another process.
+
+        The new process numbers its messages from the start, and has not answered any probe yet.
+        """
         self.highest_sequence = -1
-        self.received = 0
+        self.received_bitmap = 0
         self.last_ack = -inf
--- a/stepsail/membership/member_table.py
+++ b/stepsail/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The table of all other members, and which records of them take precedence."""
+"""Keeps the table of all other members, and replaces their records by records of higher precedence."""
 
 from __future__ import annotations
 
@@ -18,20 +18,22 @@
 from stepsail.membership.records import PRESENT_STATES, MemberRecord, MemberState
 from stepsail.membership.view import MemberChange
 
-MAX_UNREAD_CHANGES = 10_000  # older ones are dropped and counted
+MAX_UNREAD_CHANGES = 10_000  # if there are more, the oldest are dropped and counted
+# Seconds after which a member in the given state is removed from the table.
 RETENTION = {MemberState.DEAD: DEAD_RETENTION, MemberState.LEFT: LEFT_RETENTION}
 
 
 class MemberTable:
-    """All other members, by instance number.
+    """The table of all other members.
 
     Attributes:
-        suspects: Those of them that are suspect.
-        present_count: This instance and all others that are alive or suspect.
-        probe_order: Instances still to be probed in this round, the next one last.
-        changes: What the host has not read yet.
+        members: All other members, by instance number.
+        suspects: The members that are suspect, by instance number.
+        present_count: Number of instances that are alive or suspect, including this one.
+        probe_order: Numbers of the instances still to be probed in the current round; the next one is last.
+        changes: Changes that the caller has not taken yet.
         changed_at: When the table last changed (s).
-        revision: Grows with every change.
+        revision: Increases with each change.
     """
 
     def __init__(self, broadcaster: Broadcaster) -> None:
@@ -46,25 +48,28 @@
         self._digests: tuple[int, ...] | None = None
 
     def present_members(self) -> list[Member]:
-        """Members that are alive or suspect."""
+        """Return the members that are alive or suspect."""
         return [member for member in self.members.values() if member.present]
 
     def dead_members(self) -> list[Member]:
-        """Members that are dead and have not left."""
+        """Return the members that were declared dead and have not left."""
         return [member for member in self.members.values() if member.record.state is MemberState.DEAD]
 
     @property
     def min_suspicion(self) -> float:
-        """Seconds that a suspicion lasts at least."""
+        """The shortest suspicion timeout (s) at the current fleet size."""
         return self.broadcaster.timing.suspicion_timeouts(self.present_count).minimum
 
     @property
     def transmissions(self) -> int:
-        """How often a broadcast is sent."""
+        """The number of times that a broadcast is sent at the current fleet size."""
         return self.broadcaster.timing.transmissions(self.present_count)
 
     def next_probe_target(self) -> Member | None:
-        """Next member of SWIM's randomized round robin, which probes each within a bounded time."""
+        """Return the next member to probe, or None if no other member is present.
+
+        The order is SWIM's randomized round robin, which probes each member within a bounded time.
+        """
         for _ in range(2):
             while self.probe_order:
                 member = self.members.get(self.probe_order.pop())
@@ -76,13 +81,19 @@
         return None
 
     def _insert_into_probe_order(self, instance: int) -> None:
-        at = int(self.broadcaster.random() * (len(self.probe_order) + 1))
-        self.probe_order.insert(at, instance)
+        position = int(self.broadcaster.random() * (len(self.probe_order) + 1))
+        self.probe_order.insert(position, instance)
 
     # Received records
 
     def receive(self, record: MemberRecord, reporter: int, trusted: bool) -> None:
-        """Take over a record that takes precedence. `trusted`: the reporter may declare members dead."""
+        """Apply a received record, if it takes precedence over the record in the table.
+
+        Args:
+            record: The received record.
+            reporter: Number of the instance that sent it.
+            trusted: Whether a death that the reporter reports may be accepted without verification.
+        """
         member = self.members.get(record.instance)
         if member is None:
             self._add(record, reporter)
@@ -94,21 +105,22 @@
             if member.suspicion and record.state is MemberState.SUSPECT:
                 self._confirm(member, reporter)
             return
-        if self._is_doubtful_death(member, record, trusted):
+        if self._needs_verification(member, record, trusted):
             self.suspect(member, reporter, f"instance {reporter} declared it dead", broadcast=False)
             return
         if record.state is MemberState.SUSPECT:
             self._update(member, record, f"instance {reporter} suspects it")
             self._begin_suspicion(member, reporter)
         else:
-            self._update(member, record, self._reason(record, old, reporter))
+            self._update(member, record, self._change_reason(record, old, reporter))
         self.broadcaster.queue.add(record, self.transmissions)
 
-    def _is_doubtful_death(self, member: Member, record: MemberRecord, trusted: bool) -> bool:
-        """Whether a report of a death is only a reason to probe the member.
+    def _needs_verification(self, member: Member, record: MemberRecord, trusted: bool) -> bool:
+        """Return whether a report that a member is dead only causes this instance to suspect and probe it.
 
-        It is believed from a reporter that has been present for a while, about a member that has not answered here
-        for as long. Else, after a partition heals, each side would believe the other's outdated reports.
+        A death is accepted without verification only if the reporter is trusted, which requires that it has
+        been present for the shortest suspicion timeout, and if the member has not answered this instance for
+        as long. Otherwise, after a partition heals, each side would accept the other side's outdated reports.
         """
         if record.state is not MemberState.DEAD or not member.present:
             return False
@@ -118,16 +130,20 @@
         return not (trusted and silent_for >= self.min_suspicion)
 
     @staticmethod
-    def _reason(record: MemberRecord, old: MemberRecord, reporter: int) -> str:
+    def _change_reason(record: MemberRecord, old: MemberRecord, reporter: int) -> str:
         if record.state is MemberState.DEAD:
             return f"instance {reporter} declared it dead"
         if record.state is MemberState.LEFT:
             return "it has left"
-        return "a later process" if record.start_time > old.start_time else "it refuted"
+        return (
+            "a later process of the instance has started"
+            if record.start_time > old.start_time
+            else "it refuted the report"
+        )
 
     def _add(self, record: MemberRecord, reporter: int) -> None:
         if record.state not in PRESENT_STATES:
-            return  # a death or departure of an unknown member concerns nobody
+            return  # the death or departure of an unknown member changes nothing
         if len(self.members) >= MAX_MEMBERS:
             self.broadcaster.counters["no room"] += 1
             return
@@ -145,7 +161,14 @@
     # Suspicions
 
     def suspect(self, member: Member, reporter: int, reason: str, broadcast: bool) -> None:
-        """Suspect a member, and probe it. Without `broadcast` the others are not told."""
+        """Suspect a member, or confirm its suspicion; probe a newly suspected member.
+
+        Args:
+            member: The member to suspect.
+            reporter: Number of the instance that reports the suspicion.
+            reason: Why the member is suspected, for the log.
+            broadcast: Whether the suspicion is broadcast to other members.
+        """
         if member.suspicion:
             self._confirm(member, reporter, broadcast)
             return
@@ -160,7 +183,10 @@
         self.suspects[member.record.instance] = member
 
     def _confirm(self, member: Member, reporter: int, broadcast: bool = True) -> None:
-        """Count an independent report; the first few are sent on."""
+        """Add an independent report to a suspicion, and broadcast the suspicion again.
+
+        Reports beyond `MAX_CONFIRMATIONS` are ignored: they would not shorten the timeout any further.
+        """
         assert member.suspicion
         reporters = member.suspicion.reporters
         if reporter not in reporters and len(reporters) <= MAX_CONFIRMATIONS:
@@ -169,25 +195,28 @@
                 self.broadcaster.queue.add(member.record, self.transmissions)
 
     def restart_suspicions(self) -> None:
-        """Start the time of all suspicions anew: this process was paused, and could not hear refutations."""
+        """Restart the timeouts of all suspicions, because a paused process cannot receive refutations."""
         for member in self.suspects.values():
             assert member.suspicion
             member.suspicion = Suspicion(self.broadcaster.now, member.suspicion.reporters)
 
     def expire_suspicions(self) -> None:
-        """Declare members dead whose suspicion has lasted its time."""
+        """Declare the members dead whose suspicion timeout has expired."""
         broadcaster = self.broadcaster
         for member in list(self.suspects.values()):
             assert member.suspicion
             expires_at = member.suspicion.expires_at(broadcaster.timing, self.present_count, member.last_ack)
             if broadcaster.now >= expires_at:
-                reason = f"no answer in time, {len(member.suspicion.reporters)} reports"
+                reason = f"suspicion timed out, number of reporters: {len(member.suspicion.reporters)}"
                 self._update(member, member.record.with_state(MemberState.DEAD), reason)
                 if self._receives_answers():
                     broadcaster.queue.add(member.record, self.transmissions)
 
     def _receives_answers(self) -> bool:
-        """Whether any member has answered a probe lately; an isolated instance does not declare others dead."""
+        """Return whether any member has lately answered a probe of this instance.
+
+        Otherwise this instance may itself be isolated, and does not broadcast that others are dead.
+        """
         now = self.broadcaster.now
         return any(now - member.last_ack < self.min_suspicion for member in self.members.values())
 
@@ -196,10 +225,10 @@
     def _update(self, member: Member, record: MemberRecord, reason: str) -> None:
         old_state = member.record.state
         was_present = member.present
-        other_process = record.start_time != member.record.start_time
-        later_process = record.state is MemberState.ALIVE and other_process
-        if other_process:
-            member.reset_process()
+        process_changed = record.start_time != member.record.start_time
+        later_process = record.state is MemberState.ALIVE and process_changed
+        if process_changed:
+            member.reset_for_new_process()
         member.record = record
         member.suspicion = None
         self.suspects.pop(record.instance, None)
@@ -217,7 +246,11 @@
         self.note_change(MemberChange(record.instance, record.start_time, old_state, record.state, reason))
 
     def note_change(self, change: MemberChange | None = None) -> None:
-        """The table or this instance's own record has changed; tell the host what, if it is of interest."""
+        """Note that the table or this instance's own record has changed.
+
+        Args:
+            change: The change for the caller of the protocol; None if the caller needs none.
+        """
         self._digests = None
         self.changed_at = self.broadcaster.now
         self.revision += 1
@@ -226,8 +259,8 @@
             self.broadcaster.counters["changes lost"] += 1 if is_full else 0
             self.changes.append(change)
 
-    def forget_absent(self) -> None:
-        """Remove members that died or left long ago."""
+    def remove_expired_members(self) -> None:
+        """Remove the dead members and the members that left whose retention time has passed."""
         for member in list(self.members.values()):
             retention = RETENTION.get(member.record.state, inf)
             if self.broadcaster.now - member.state_since > retention:
@@ -237,11 +270,14 @@
     # The table as a whole
 
     def records(self) -> list[MemberRecord]:
-        """This instance's own record and all others."""
+        """Return this instance's own record and the records of all other members."""
         return [self.broadcaster.local, *(member.record for member in self.members.values())]
 
     def digests(self) -> tuple[int, ...]:
-        """By bucket, a digest of which processes are present and of their incarnations, suspect or not."""
+        """Return one digest per bucket, of the present processes in it and their incarnations.
+
+        Whether a process is suspect does not change the digest.
+        """
         if self._digests is None:
             buckets: list[list[tuple[int, int, int]]] = [[] for _ in range(DIGEST_BUCKETS)]
             for record in self.records():
--- a/stepsail/membership/messages.py
+++ b/stepsail/membership/messages.py
@@ -1,6 +1,7 @@
-"""Datagrams of the membership protocol: versioned msgpack arrays under a checksum.
+"""Encodes and decodes the membership protocol's datagrams: versioned msgpack arrays, each after a checksum.
 
-The network may lose, duplicate, delay and reorder them. The order of fields and the values of kinds are wire format.
+The network may lose, duplicate, delay and reorder datagrams. The order of the fields of `Message` and the
+values of `MessageKind` are part of the wire format.
 """
 
 from __future__ import annotations
@@ -13,52 +14,57 @@
 import msgspec
 
 from stepsail.membership.parameters import DIGEST_BUCKETS, MAX_DATAGRAM_BYTES
-from stepsail.membership.records import Counter, Host, InstanceNumber, MemberRecord, PortNumber
+from stepsail.membership.records import Host, InstanceNumber, MemberRecord, PortNumber, UnsignedInt
 
 VERSION = 1
 CHECKSUM_BYTES = 4
-HEADER_BYTES = 70  # of a datagram without records and digests, at most
-DIGEST_BYTES = 5  # of one encoded digest, at most
-RECORD_BYTES = 45  # of an encoded record without its zone and host, at most
+HEADER_BYTES = 70  # upper bound of the size of a datagram without its records and digests
+DIGEST_BYTES = 5  # upper bound of the size of one encoded digest
+RECORD_BYTES = 45  # upper bound of the size of an encoded record without its zone and host
 MAX_RECORDS = MAX_DATAGRAM_BYTES // 10
 
 
 class MessageKind(IntEnum):
-    """SWIM's probes, and the comparison of member tables."""
+    """The kinds of message: four for SWIM's probes, and two for the comparison of member tables.
+
+    A helper is a member that is asked to probe another member for the sender (SWIM's ping-req).
+    """
 
     PING = 0
-    ACK = 1  # also from a helper, for the member that it probed
-    PING_REQUEST = 2  # probe a member for the sender
-    NACK = 3  # the member has not answered the helper either (Lifeguard)
-    DIGESTS = 4  # of the sender's member table, by bucket
-    RECORDS = 5  # of buckets that differ
+    ACK = 1  # answers PING; a helper sends it to the requester when the target has answered the helper
+    PING_REQUEST = 2  # asks a helper to probe the target
+    NACK = 3  # a helper tells the requester that the target has not answered the helper in time (Lifeguard)
+    DIGESTS = 4  # the digests of all buckets of the sender's member table
+    RECORDS = 5  # the sender's records in the buckets whose digests differ
 
 
 class InvalidMessageError(Exception):
-    """The bytes are no datagram of this cluster and version, or a field is out of bounds."""
+    """Raised for bytes that are not a valid datagram of this cluster and version."""
 
 
 Digest = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram.
+    """The content of one datagram.
 
     Attributes:
         version: Version of the message format.
-        kind: What is asked or answered.
-        sequence: Number of the message among its sender's.
-        probe_id: The probe that the message belongs to; in DIGESTS 1 for an answer.
-        target: The instance that is probed.
-        target_address: In PING_REQUEST, where the target is reached.
-        digests: Digests of the sender's member table; empty or one for each bucket.
-        records: The sender's own record, then others.
+        kind: The kind of message.
+        sequence: Sequence number; the sender raises it by one with each message that it sends.
+        probe_id: Number of the probe that the message belongs to, as chosen by the instance that sent the
+            PING or PING_REQUEST. In DIGESTS, 0 for a request for comparison and 1 for the response.
+        target: Number of the probed instance. In DIGESTS and RECORDS, the receiver's number. In a PING to a
+            seed, whose number the sender does not know, the sender's own number.
+        target_address: In PING_REQUEST, the target's address; otherwise None.
+        digests: In DIGESTS, one digest for each bucket of the sender's member table; otherwise empty.
+        records: The sender's own record first, then records of other members.
     """
 
     version: Annotated[int, msgspec.Meta(ge=VERSION, le=VERSION)]
     kind: MessageKind
-    sequence: Counter
-    probe_id: Counter
+    sequence: UnsignedInt
+    probe_id: UnsignedInt
     target: InstanceNumber
     target_address: tuple[Host, PortNumber] | None
     digests: Annotated[list[Digest], msgspec.Meta(max_length=DIGEST_BUCKETS)]
@@ -69,21 +75,22 @@
 
 
 def encode(cluster_id: int, message: Message) -> bytes:
-    """Return the datagram: the message after a checksum that starts with the cluster's id."""
+    """Return a datagram: the encoded message after its CRC-32, whose initial value is the cluster's id."""
     body = msgspec.msgpack.encode(message)
     return crc32(body, cluster_id).to_bytes(CHECKSUM_BYTES, "big") + body
 
 
 def decode(cluster_id: int, data: bytes) -> Message:
-    """Parse a datagram.
+    """Return the message that a datagram contains.
 
     Raises:
-        InvalidMessageError: It is not a whole datagram of this cluster and version.
+        InvalidMessageError: The datagram is too long, truncated or corrupted, comes from another cluster, is
+            of another version, or has a field that is out of bounds.
     """
     body = data[CHECKSUM_BYTES:]
     checksum = int.from_bytes(data[:CHECKSUM_BYTES], "big")
     if len(data) > MAX_DATAGRAM_BYTES or crc32(body, cluster_id) != checksum:
-        raise InvalidMessageError("expected a whole datagram of this cluster")
+        raise InvalidMessageError("the datagram is too long, or its checksum is not valid for this cluster")
     try:
         message = DECODER.decode(body)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
@@ -94,12 +101,12 @@
 
 
 def record_size(record: MemberRecord) -> int:
-    """Bytes that a record takes in a datagram, at most."""
+    """Return an upper bound of the number of bytes that a record takes in a datagram."""
     return RECORD_BYTES + len(record.zone.encode()) + len(record.host)
 
 
 def fitting_records(records: Sequence[MemberRecord], max_bytes: int) -> list[MemberRecord]:
-    """Return the first records that fit into so many bytes together."""
+    """Return as many of the first records as fit into `max_bytes` together."""
     fitting = []
     remaining = max_bytes
     for record in records:
--- a/stepsail/membership/protocol.py
+++ b/stepsail/membership/protocol.py
@@ -1,7 +1,9 @@
-"""The membership protocol of one instance, without I/O: time is an argument, randomness comes from a seed.
+"""Implements the membership protocol of one instance without I/O.
 
-The host calls `receive` for each datagram and `tick` no later than `next_timeout`, sends what `take_datagrams`
-returns, and reads `view`. `docs/design/membership.md` says what differs from SWIM and Lifeguard, and why.
+The current time is passed as an argument, and pseudo-random numbers come from a seed. The caller calls
+`receive` for each datagram and `tick` no later than at `next_timeout`, sends the datagrams that
+`take_datagrams` returns, and reads `view`. `docs/design/membership.md` describes the differences from SWIM
+and Lifeguard and the reasons for them.
 """
 
 from __future__ import annotations
@@ -11,7 +13,7 @@
 from math import inf
 
 from stepsail.membership.anti_entropy import AntiEntropy
-from stepsail.membership.broadcaster import Broadcaster, suspicion_of
+from stepsail.membership.broadcaster import Broadcaster, records_to_refute
 from stepsail.membership.failure_detector import FailureDetector
 from stepsail.membership.indirect_probe import IndirectProber
 from stepsail.membership.local_member import LocalMember
@@ -34,23 +36,31 @@
 
 
 class MembershipProtocol:
-    """One instance's part in the membership. It starts as the only member.
+    """Runs the membership protocol for one instance, which knows no other member at first.
 
     Args:
         instance: This instance's number.
-        start_time: Above that of any earlier process of the instance (ms).
+        start_time: Start time of this process (ms); higher than that of any earlier process of the instance.
         zone: This instance's zone.
-        address: Where others reach it.
-        seeds: Where other members may be found.
-        seed: Of all random decisions.
+        address: The address at which this instance receives datagrams.
+        seeds: Addresses at which other members may be reached.
+        random_seed: Seed of the pseudo-random numbers.
         now: The local time (s).
-        timing: The protocol's times.
-        cluster_id: Datagrams of other clusters are dropped.
+        timing: The protocol's timeouts.
+        cluster_id: Id of the cluster; datagrams of other clusters are dropped.
 
     Attributes:
-        next_timeout: When `tick` is due (s).
-        period_ends_at: When the next period begins (s).
-        period_count: Periods so far.
+        broadcaster: This process's record, clock and health, and its outgoing messages.
+        table: The other members.
+        local_member: This process's own membership.
+        detector: Probes the other members.
+        indirect_prober: Probes members on behalf of other instances.
+        anti_entropy: Compares member tables with other members.
+        started_at: The local time at which this object was made (s).
+        period_ends_at: When the current period ends and the next one begins (s).
+        next_timeout: When `tick` must be called next (s).
+        period_count: Number of periods begun so far.
+        leaving: Whether this instance has left the membership.
     """
 
     def __init__(
@@ -60,16 +70,16 @@
         zone: str,
         address: Address,
         seeds: Sequence[Address],
-        seed: int,
+        random_seed: int,
         now: float,
         timing: Timing | None = None,
         cluster_id: int = 0,
     ) -> None:
         local = MemberRecord(instance, start_time, 0, MemberState.ALIVE, zone, *address)
-        self.broadcaster = Broadcaster(local, seed, now, timing or Timing(), cluster_id)
+        self.broadcaster = Broadcaster(local, random_seed, now, timing or Timing(), cluster_id)
         self.table = MemberTable(self.broadcaster)
         self.local_member = LocalMember(self.broadcaster, self.table)
-        other_seeds = [other for other in seeds if other != address]
+        other_seeds = [seed for seed in seeds if seed != address]
         self.detector = FailureDetector(self.broadcaster, self.table, other_seeds)
         self.indirect_prober = IndirectProber(self.broadcaster, self.table)
         self.anti_entropy = AntiEntropy(self.broadcaster, self.table)
@@ -89,12 +99,12 @@
 
     @property
     def health_score(self) -> int:
-        """Lifeguard's local health; 0 is best."""
+        """Lifeguard's local health score; 0 is the best."""
         return self.broadcaster.health_score
 
     @property
     def counters(self) -> Counter[str]:
-        """Events by name, for the status page."""
+        """The number of events by name, for the status page."""
         return self.broadcaster.counters
 
     @property
@@ -105,7 +115,7 @@
     # Time and datagrams
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Perform the actions whose time has come."""
         broadcaster = self.broadcaster
         was_paused = now - self.next_timeout > PAUSE_PERIODS * broadcaster.timing.period
         broadcaster.advance_clock(now)
@@ -119,12 +129,12 @@
         if broadcaster.now >= self.period_ends_at:
             self._begin_period()
         self.table.expire_suspicions()
-        if broadcaster.now >= self.anti_entropy.due:
+        if broadcaster.now >= self.anti_entropy.due_at:
             self.anti_entropy.begin()
         self.next_timeout = self._next_deadline()
 
     def receive(self, data: bytes, now: float) -> None:
-        """Handle one datagram. Malformed, foreign and duplicate ones are dropped and counted."""
+        """Handle one datagram; malformed, foreign and duplicate datagrams are dropped and counted."""
         broadcaster = self.broadcaster
         broadcaster.advance_clock(now)
         if self.displaced or self.leaving:
@@ -144,11 +154,11 @@
         self._receive_from_member(member, sender, message)
 
     def _is_current(self, member: Member, sender: MemberRecord, message: Message) -> bool:
-        """Whether the message is neither of an earlier process nor a duplicate."""
+        """Return whether the message is new and not from an earlier process than the known one."""
         broadcaster = self.broadcaster
         if sender.start_time < member.record.start_time:
             broadcaster.counters["earlier"] += 1
-            if message.kind is MessageKind.PING:  # tell the earlier process of its successor
+            if message.kind is MessageKind.PING:  # the ACK informs the earlier process of the later one
                 instance = broadcaster.local.instance
                 records = (member.record,)
                 broadcaster.send(
@@ -171,13 +181,14 @@
         self._receive_record(sender, sender.instance, trusted)
         member = self.table.members.get(sender.instance)
         if member is None:
-            return  # the table is full, or an unknown member has left
+            return  # the table is full, or the sender is an unknown member that has left
         if member.highest_sequence < 0:
             member.accept_sequence(message.sequence)
+        # Deaths in RECORDS may be outdated, so they are verified.
         trusts_deaths = trusted and message.kind is not MessageKind.RECORDS
         for record in message.records[1:]:
             self._receive_record(record, sender.instance, trusts_deaths)
-        self._handle(member, sender, message)
+        self._dispatch(member, sender, message)
         self.next_timeout = min(self.next_timeout, self._next_deadline())
 
     def _receive_record(self, record: MemberRecord, reporter: int, trusted: bool) -> None:
@@ -186,11 +197,11 @@
         else:
             self.table.receive(record, reporter, trusted)
 
-    def _handle(self, member: Member, sender: MemberRecord, message: Message) -> None:
+    def _dispatch(self, member: Member, sender: MemberRecord, message: Message) -> None:
         kind = message.kind
         if kind is MessageKind.PING and sender.state in PRESENT_STATES:
             instance = self.broadcaster.local.instance
-            records = suspicion_of(member)
+            records = records_to_refute(member)
             self.broadcaster.send(
                 sender.address, MessageKind.ACK, message.probe_id, instance, first_records=records
             )
@@ -211,7 +222,7 @@
             self.anti_entropy.schedule_now()
 
     def leave(self, now: float) -> None:
-        """Tell some members that this instance leaves; it sends nothing afterwards."""
+        """Announce to some members that this instance leaves; it sends no datagrams after these."""
         broadcaster = self.broadcaster
         broadcaster.advance_clock(now)
         if self.displaced or self.leaving:
@@ -222,7 +233,7 @@
             broadcaster.send(member.record.address, MessageKind.PING, 0, member.record.instance)
 
     def take_datagrams(self) -> list[tuple[Address, bytes]]:
-        """Return the datagrams to send, each with where to."""
+        """Return the destinations and datagrams to send, and clear them."""
         datagrams = self.broadcaster.datagrams
         self.broadcaster.datagrams = []
         return datagrams
@@ -231,16 +242,19 @@
 
     def _next_deadline(self) -> float:
         deadlines = [*self.indirect_prober.deadlines(), *self.detector.deadlines()]
-        return max(self.broadcaster.now, min(self.period_ends_at, self.anti_entropy.due, *deadlines))
+        return max(self.broadcaster.now, min(self.period_ends_at, self.anti_entropy.due_at, *deadlines))
 
     def _resume_after_pause(self) -> None:
-        """Judge nobody by what is overdue after a pause or a clock set forward; probe at once instead."""
-        self.broadcaster.counters["stood still"] += 1
+        """Discard expired timeouts after a pause of this process or a forward clock step, and probe at once.
+
+        Members whose answers are overdue are not suspected, because this process could not receive answers.
+        """
+        self.broadcaster.counters["stood still"] += 1  # pauses of this process and forward clock steps
         self.broadcaster.change_health(1)
         self.detector.cancel_all()
         self.indirect_prober.cancel_all()
         self.table.restart_suspicions()
-        self.local_member.extend_conflict()
+        self.local_member.extend_conflict_deadline()
         self.period_ends_at = self.broadcaster.now
         self.anti_entropy.schedule_now()
 
@@ -254,26 +268,26 @@
         period = broadcaster.timing.period * broadcaster.health_multiplier
         self.period_ends_at = broadcaster.now + period * jitter
         if compares_tables:
-            self.table.forget_absent()
+            self.table.remove_expired_members()
         self.detector.begin_period()
         if self.period_count % DEAD_PROBE_PERIODS == 0:
             self.detector.probe_dead()
         if not self.table.members and self.period_count % SEED_PROBE_PERIODS == 1:
             self.detector.probe_seeds(PROBE_HELPERS)
-        self.local_member.probe_conflict()
+        self.local_member.probe_conflicting_process()
         if compares_tables:
             self.anti_entropy.schedule_now()
 
     # The view
 
     def take_changes(self) -> list[MemberChange]:
-        """Return the changes since the last call."""
+        """Return the changes since the last call, the oldest first."""
         changes = list(self.table.changes)
         self.table.changes.clear()
         return changes
 
     def view(self) -> MembershipView:
-        """Return the view as of the last call; the same object as long as nothing in it has changed."""
+        """Return the current view; the same object is returned until the view changes."""
         settled = self._is_settled()
         table_changed = self._view_revision != self.table.revision
         if self._view is None or table_changed or self._view.settled != settled:
@@ -292,7 +306,9 @@
 
     def _make_view(self, settled: bool) -> MembershipView:
         local_status = MemberStatus.of(self.local, self.started_at)
-        others = [MemberStatus.of(m.record, m.state_since) for m in self.table.present_members()]
+        others = [
+            MemberStatus.of(member.record, member.state_since) for member in self.table.present_members()
+        ]
         members = tuple(sorted((local_status, *others), key=lambda status: status.instance))
         dead = tuple(sorted(member.record.instance for member in self.table.dead_members()))
         minority = len(members) <= len(dead)
--- a/stepsail/membership/view.py
+++ b/stepsail/membership/view.py
@@ -1,4 +1,4 @@
-"""The membership as other parts of the program read it: immutable values."""
+"""Defines the immutable values in which other packages read the membership."""
 
 from __future__ import annotations
 
@@ -11,7 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """One present member. `start_time`: ms, by its own clock; `state_since`: s, by the local clock."""
+    """The status of one present member.
+
+    Attributes:
+        instance: The member's instance number.
+        start_time: When its process started (ms, on the member's own clock).
+        zone: The member's zone.
+        address: The address at which it receives datagrams.
+        state: Its state, ALIVE or SUSPECT.
+        state_since: When it entered the state (s, on the local clock).
+    """
 
     instance: int
     start_time: int
@@ -22,7 +31,7 @@
 
     @classmethod
     def of(cls, record: MemberRecord, state_since: float) -> MemberStatus:
-        """Return the status that a record claims."""
+        """Return the status of the member that a record describes."""
         return cls(record.instance, record.start_time, record.zone, record.address, record.state, state_since)
 
 
@@ -31,12 +40,13 @@
     """The membership as one instance sees it.
 
     Attributes:
-        version: Grows with every change of the view.
-        members: Members that are alive or suspect, by instance number.
-        dead: Instance numbers of dead members that are still probed.
-        settled: Nobody is suspect, and nothing has changed for a while.
-        minority: No more members are present than dead.
-        displaced: A later process has this instance's number; the view is not updated any more.
+        version: Increases with each change of the view.
+        members: Members that are alive or suspect, including this instance, in order of instance number.
+        dead: Instance numbers of the members that were declared dead and are still probed.
+        settled: Whether no member is suspect and the membership has not changed in the last
+            `SETTLED_PERIODS`.
+        minority: Whether no more members are present than dead.
+        displaced: Whether a later process has this instance's number. The view is then no longer updated.
     """
 
     version: int
@@ -48,13 +58,21 @@
 
     @property
     def digest(self) -> int:
-        """Equal where the same processes are present, suspect or not."""
+        """A checksum of the present processes; views with the same processes have the same digest."""
         return crc32(b"".join(b"%d.%d;" % (member.instance, member.start_time) for member in self.members))
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """One change of a member, for the log. `previous_state` is None for a member that was not known."""
+    """A change of one member's state or process, for the log.
+
+    Attributes:
+        instance: The member's instance number.
+        start_time: When its process started (ms).
+        previous_state: The state before the change; None if the member was unknown.
+        state: The state after the change.
+        reason: Why the member changed, for readers of the log.
+    """
 
     instance: int
     start_time: int
--- a/stepsail/proxy/membership.py
+++ b/stepsail/proxy/membership.py
@@ -22,12 +22,12 @@
     Timing,
 )
 from stepsail.membership.envelope import (
-    GOSSIP_MARK,
-    POLICY_MARK,
-    seal,
-    seal_gossip,
-    unseal,
-    unseal_gossip,
+    GOSSIP_MAGIC,
+    POLICY_MAGIC,
+    decode_envelope,
+    decode_gossip,
+    encode_envelope,
+    encode_gossip,
 )
 from stepsail.membership.parameters import PROBE_PERIOD
 from stepsail.proxy.decision_host import DecisionHost, Logger
@@ -141,24 +141,24 @@
         if peer and self.protocol and not self.protocol.displaced:
             local = self.protocol.local
             self.socket.send(
-                seal_gossip(self.cluster_id, local.instance, local.start_time, text), peer.address
+                encode_gossip(self.cluster_id, local.instance, local.start_time, text), peer.address
             )
 
     def send_policy_message(self, to: Address, body: bytes) -> None:
         """Send a policy message to any address; it may be lost."""
-        self.socket.send(seal(POLICY_MARK, self.cluster_id, body), to)
+        self.socket.send(encode_envelope(POLICY_MAGIC, self.cluster_id, body), to)
 
     def _receive(self, data: bytes) -> None:
         """Handle one datagram within the rate limits, so that datagrams do not delay clients' requests."""
         assert self.protocol
         now = self.loop.now()
-        is_envelope = data.startswith((GOSSIP_MARK, POLICY_MARK))
+        is_envelope = data.startswith((GOSSIP_MAGIC, POLICY_MAGIC))
         limit = self.envelope_limit if is_envelope else self.protocol_limit
         if not limit.try_take(now):
             self.dropped += 1
-        elif data.startswith(POLICY_MARK):
+        elif data.startswith(POLICY_MAGIC):
             self._receive_policy_message(data)
-        elif data.startswith(GOSSIP_MARK):
+        elif data.startswith(GOSSIP_MAGIC):
             self._receive_gossip(data)
         else:
             self.protocol.receive(data, now)
@@ -166,14 +166,14 @@
 
     def _receive_policy_message(self, data: bytes) -> None:
         try:
-            self.on_policy_message(unseal(self.cluster_id, data, MIN_POLICY_BYTES))
+            self.on_policy_message(decode_envelope(self.cluster_id, data, MIN_POLICY_BYTES))
         except InvalidMessageError:
             self.dropped += 1
 
     def _receive_gossip(self, data: bytes) -> None:
         """Pass on gossip that comes from the current process of a present instance."""
         try:
-            gossip = unseal_gossip(self.cluster_id, data)
+            gossip = decode_gossip(self.cluster_id, data)
         except InvalidMessageError:
             self.dropped += 1
             return
--- a/tests/membership/test_membership_page.py
+++ b/tests/membership/test_membership_page.py
@@ -1,4 +1,7 @@
-"""The status page has the fields and values of the code from before the renaming."""
+"""Compares the membership status page with one written before the identifiers in the code were renamed.
+
+Operators' tools read the page's field names and values, so a renaming must not change them.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 STORED = Path(__file__).parent / "before-names"
 
 
-def test_page_is_the_same_after_a_crash() -> None:
+def test_page_after_a_crash_equals_the_stored_page() -> None:
     lab = MembershipLab(5, 1)
     lab.run(10.0)
     lab.crash(3)
--- a/tests/membership/test_membership_wire_format.py
+++ b/tests/membership/test_membership_wire_format.py
@@ -1,4 +1,4 @@
-"""Datagrams of the code from before the renaming: read and written byte for byte."""
+"""Compares datagrams byte for byte with ones written before the identifiers in the code were renamed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,14 @@
 
 import pytest
 
-from stepsail.membership.envelope import POLICY_MARK, Gossip, seal, seal_gossip, unseal, unseal_gossip
+from stepsail.membership.envelope import (
+    POLICY_MAGIC,
+    GossipDatagram,
+    decode_envelope,
+    decode_gossip,
+    encode_envelope,
+    encode_gossip,
+)
 from stepsail.membership.messages import Message, MessageKind, decode, encode
 from stepsail.membership.parameters import DIGEST_BUCKETS
 from stepsail.membership.records import MemberRecord, MemberState
@@ -29,7 +36,7 @@
 
 
 @pytest.mark.parametrize("kind", list(MessageKind))
-def test_datagram_has_the_same_bytes(kind: MessageKind) -> None:
+def test_datagram_equals_the_stored_one(kind: MessageKind) -> None:
     message = Message(
         version=1,
         kind=kind,
@@ -45,20 +52,20 @@
     assert decode(CLUSTER_ID, stored) == message
 
 
-def test_every_kind_and_state_has_an_example() -> None:
+def test_a_datagram_of_every_kind_and_a_record_of_every_state_is_compared() -> None:
     assert len(EXAMPLES["datagrams"]) == len(MessageKind)
     assert {record.state for record in RECORDS} == set(MemberState)
 
 
-def test_gossip_envelope_has_the_same_bytes() -> None:
+def test_gossip_envelope_equals_the_stored_one() -> None:
     text = b'{"said": 1}'
     stored = bytes.fromhex(EXAMPLES["gossip"])
-    assert seal_gossip(CLUSTER_ID, 3, 1_700_000_000_003, text) == stored
-    assert unseal_gossip(CLUSTER_ID, stored) == Gossip(3, 1_700_000_000_003, text)
+    assert encode_gossip(CLUSTER_ID, 3, 1_700_000_000_003, text) == stored
+    assert decode_gossip(CLUSTER_ID, stored) == GossipDatagram(3, 1_700_000_000_003, text)
 
 
-def test_policy_envelope_has_the_same_bytes() -> None:
+def test_policy_envelope_equals_the_stored_one() -> None:
     body = b"k\0\0\0\x01body"
     stored = bytes.fromhex(EXAMPLES["policy"])
-    assert seal(POLICY_MARK, CLUSTER_ID, body) == stored
-    assert unseal(CLUSTER_ID, stored, 6) == body
+    assert encode_envelope(POLICY_MAGIC, CLUSTER_ID, body) == stored
+    assert decode_envelope(CLUSTER_ID, stored, 6) == body
--- a/tests/proxy/test_peer_gossip.py
+++ b/tests/proxy/test_peer_gossip.py
@@ -13,7 +13,7 @@
 from stepsail.decisions.interface import Verdict
 from stepsail.loop import Datagrams
 from stepsail.membership import MemberRecord, MemberState
-from stepsail.membership.envelope import GOSSIP_MARK, seal_gossip, unseal_gossip
+from stepsail.membership.envelope import GOSSIP_MAGIC, decode_gossip, encode_gossip
 from stepsail.membership.messages import VERSION, Message, MessageKind, encode
 from stepsail.proxy.peer_gossip import OUTCOMES, VERDICT
 
@@ -134,7 +134,7 @@
             start_time: int, sent_at: float, stage: int, instance: int = 1, cluster: int = cluster_id
         ) -> None:
             sender.send(
-                seal_gossip(
+                encode_gossip(
                     cluster, instance, start_time, encode_message(1, VERDICT, 1, sent_at, 2, stage, 3)
                 ),
                 destination,
@@ -154,9 +154,9 @@
         assert rig.application.membership.dropped == 5
         # The instance sends its own gossip to the address of the member in the view.
         rig.application.peer_gossip.gossip_verdict(2, 0, Verdict.PROMOTE)
-        while not (data := sender.receive(1.0)[0]).startswith(GOSSIP_MARK):
+        while not (data := sender.receive(1.0)[0]).startswith(GOSSIP_MAGIC):
             pass
-        gossip = unseal_gossip(cluster_id, data)
+        gossip = decode_gossip(cluster_id, data)
         assert gossip.instance == 0 and msgspec.msgpack.decode(gossip.text)[1] == VERDICT
 
     Rig(tmp_path, test, [answers()], MEMBERSHIP_SETTINGS.format(port=0), instances=3)
