--- a/stepsail/proxy/trail_recorder.py
+++ b/stepsail/proxy/trail_recorder.py
@@ -136,9 +136,9 @@
                 commit_finished.wait(max(0.0, deadline - self.loop.now()), "the audit trail")
             except TimedOut:
                 return False
-        elif trail.availability.answers_unrecorded():
+        elif trail.availability.sends_unrecorded_answers():
             trail.availability.not_queued += 1
-        return committed or trail.availability.answers_unrecorded()
+        return committed or trail.availability.sends_unrecorded_answers()
 
     def _answer_entry(
         self, in_flight: InFlightRequest, request_class: int, response: Response, receipt: str
--- a/stepsail/standins/power_loss_disk.py
+++ b/stepsail/standins/power_loss_disk.py
@@ -91,14 +91,14 @@
         for file in self.files.values():
             file.name_synced = True
 
-    def read(self, name: str, most: int = -1) -> bytes:
+    def read(self, name: str, max_bytes: int = -1) -> bytes:
         """Return a file's content, or its first bytes."""
         if name in self.unreadable:
             raise OSError(errno.EIO, "Input/output error", name)
         if name not in self.files:
             raise FileNotFoundError(errno.ENOENT, "No such file or directory", name)
         data = self.files[name].data
-        return bytes(data if most < 0 else data[:most])
+        return bytes(data if max_bytes < 0 else data[:max_bytes])
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
--- a/stepsail/trail/committer.py
+++ b/stepsail/trail/committer.py
@@ -1,4 +1,4 @@
-"""The thread that writes a trail: takes queued entries, commits them as one batch, and reports the outcome."""
+"""The thread that writes a trail: commits queued entries in batches and reports the outcome of each."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
 from stepsail.trail.retention import MAX_SEGMENTS_PER_PASS, Retention
 from stepsail.trail.segments import SegmentCatalog
 
-MAX_QUEUED_ENTRIES = 20000  # beyond, an answer counts as not recordable
+MAX_QUEUED_ENTRIES = 20000  # with more, an answer counts as not recordable
 MAX_BATCH_ENTRIES = 512
-MAX_WRITE_ATTEMPTS = 2  # in the open segment, then in a new one in the space of the reserve
-DEFAULT_RESERVE_BYTES = 4 << 20  # some ten thousand answers
-IDLE_INTERVAL = 0.5  # s between maintenance when nothing is queued
-HEAD_INTERVAL = 5.0  # s between signed heads, as long as something is written
+MAX_WRITE_ATTEMPTS = 2  # in the open segment, then in a new one in the freed space of the reserve
+DEFAULT_RESERVE_BYTES = 4 << 20  # space for about ten thousand answers
+IDLE_INTERVAL = 0.5  # s between maintenance passes while no entries are queued
+HEAD_INTERVAL = 5.0  # s between signed heads while entries are written
 CLOSE_TIMEOUT = 10.0  # s
 FOLDER_MODE = 0o700
 RESERVE_FILE = "reserve"
 
-OnCommitted = Callable[[bool], object]  # called with whether the entry was stored
-QueuedEntry = tuple[bytes, OnCommitted | None]  # plain, as each answer makes some
+OnCommitted = Callable[[bool], object]  # its argument: whether the entry was stored
+# A plain tuple because it is cheap to create, as each answer queues several entries.
+QueuedEntry = tuple[bytes, OnCommitted | None]
 
 
 @dataclass(frozen=True, slots=True)
 class TrailOptions:
-    """How a trail is written. Retention limits of 0 are none."""
+    """How a trail is written. A `max_age` or `max_bytes` of 0 means no limit."""
 
     durability: Durability
     full_policy: FullPolicy
@@ -47,9 +48,10 @@
 
 
 class TrailWriter:
-    """One instance's trail, written by a thread of its own.
+    """Writes one instance's trail in a separate thread.
 
-    `call_on_loop` runs a call on the event loop; outcomes and `report(event, **fields)` are called there.
+    `call_on_loop` schedules a call on the event loop. The thread uses it for the callbacks of entries and for
+    `report(event, **fields)`, which logs an event.
     """
 
     def __init__(
@@ -87,16 +89,16 @@
         self.thread = threading.Thread(target=self._run, name="trail", daemon=True)
         self.thread.start()
 
-    # -- called by the event loop ------------------------------------------------------------------------
+    # -- Called on the event loop ------------------------------------------------------------------------
 
     def accepts_requests(self) -> bool:
-        """Whether new requests may be accepted."""
+        """Return whether new requests may be accepted."""
         return self.availability.accepts_requests()
 
     def enqueue(self, kind: EntryKind, on_committed: OnCommitted | None = None, **fields: Any) -> bool:
-        """Queue an entry; False where the queue is full.
+        """Queue an entry; return False if the queue is full.
 
-        `on_committed` is called on the event loop once the entry is stored, or cannot be.
+        `on_committed` is called on the event loop once the entry is stored or storing it has failed.
         """
         try:
             self.queue.put_nowait((encode(kind, time.time(), **fields), on_committed))
@@ -105,13 +107,13 @@
         return True
 
     def close(self, timeout: float = CLOSE_TIMEOUT) -> None:
-        """Commit what is queued, seal the segment, and unlock the folder."""
+        """Commit the queued entries, seal the segment, and unlock the folder."""
         with contextlib.suppress(queue.Full):
             self.queue.put(None, timeout=timeout)
         self.thread.join(timeout)
         os.close(self.lock)
 
-    # -- the trail's thread ------------------------------------------------------------------------------
+    # -- Called on the trail's thread --------------------------------------------------------------------
 
     def _run(self) -> None:
         while not self.closing:
@@ -125,7 +127,7 @@
             self._report("trail_close_failed", error=str(error))
 
     def _next_batch(self) -> list[QueuedEntry]:
-        """The entries that wait, up to a limit; waits for IDLE_INTERVAL where there are none."""
+        """Take the queued entries, up to a limit; wait up to IDLE_INTERVAL if there are none."""
         limit = 1 if self.options.durability is Durability.POWER_LOSS_EACH else MAX_BATCH_ENTRIES
         batch: list[QueuedEntry] = []
         with contextlib.suppress(queue.Empty):
@@ -139,10 +141,10 @@
         return batch
 
     def _commit(self, batch: list[QueuedEntry]) -> None:
-        """Write a batch and call those who wait for the outcome."""
+        """Write a batch and schedule the callbacks of its entries with the outcome."""
         stored = self.availability.writable and self._write([data for data, _ in batch])
         callbacks = [callback for _, callback in batch if callback]
-        if not stored and self.availability.answers_unrecorded():
+        if not stored and self.availability.sends_unrecorded_answers():
             self.availability.count_unrecorded(len(callbacks), time.time())
         if not callbacks:
             return
@@ -154,18 +156,21 @@
         self.call_on_loop(report_outcome)
 
     def _write(self, entries: list[bytes]) -> bool:
-        """Write and sync; after a failure in a new segment, in the space of the reserve.
+        """Write and sync entries; after a failure retry in a new segment, in the freed space of the reserve.
 
-        Never again in the same file: after a failed sync the system may have dropped what it could not write, and
-        would call the next sync a success.
+        Never retries in the same file: after a failed sync the operating system may have dropped the data
+        that it could not write, and would report the next sync as a success.
+
+        Returns:
+            Whether the entries were stored.
         """
-        before = self.log.position
+        position_before = self.log.position
         for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 self._append_durably(entries)
             except OSError as error:
                 self.log.close_segment()
-                self.log.rewind(before)
+                self.log.rewind(position_before)
                 self._report("trail_write_failed", error=str(error))
                 if not self.availability.write_failed(time.monotonic(), str(error)):
                     return False
@@ -199,7 +204,7 @@
         return True
 
     def _maintain(self) -> None:
-        """What is due between batches: a retry, a new segment or a head; the reserve; retention."""
+        """Do what is due between batches: retry, begin a segment, sign a head, reserve space, retire."""
         now = time.monotonic()
         try:
             self._maintain_segment(now)
@@ -226,7 +231,7 @@
             self.signed_at = now
 
     def _resume(self) -> None:
-        """Begin a new segment after a failure, with a GAP entry for what could not be written. Raises OSError."""
+        """Begin a new segment after a failure, with a GAP entry about unrecorded answers. Raises OSError."""
         availability = self.availability
         reported_before = availability.reported
         gap = encode(
@@ -245,9 +250,11 @@
         self._report("trail_resumed")
 
     def _retire(self, now: float) -> None:
-        """Remove the oldest segments, as far as the limits of age and size want it."""
+        """Remove the oldest segments that exceed the limits of age and size."""
         sealed = self.catalog.sealed(MAX_SEGMENTS_PER_PASS)
-        for segment, reason in self.retention.choose(sealed.oldest, sealed.total_bytes, now, time.time()):
+        for segment, reason in self.retention.choose_removals(
+            sealed.oldest, sealed.total_bytes, now, time.time()
+        ):
             self.log.retire(segment, reason, time.time())
             self._report("trail_retired", file=segment.name, why=reason)
 
--- a/stepsail/trail/disk.py
+++ b/stepsail/trail/disk.py
@@ -1,4 +1,4 @@
-"""The file operations of a trail, as an interface: tests put a disk beneath it that loses what was not synced."""
+"""Interface to the file operations of a trail; tests implement it with a disk that loses unsynced data."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class Disk(Protocol):
-    """One folder of files. Every call may raise OSError."""
+    """The files of one folder. Every method may raise OSError."""
 
     def create(self, name: str) -> int:
-        """A new file, open for appending; its descriptor."""
+        """Create a file, open it for appending, and return its descriptor."""
         ...
 
     def write(self, fd: int, data: bytes) -> None:
-        """Append all of the data, or raise."""
+        """Append all of the data; raise OSError if only a part could be written."""
         ...
 
     def sync(self, fd: int) -> None:
-        """Return once what was written is on stable storage."""
+        """Return once the data written to the file is on stable storage."""
         ...
 
     def close(self, fd: int) -> None:
@@ -32,16 +32,16 @@
         """Return once the names of new files are on stable storage."""
         ...
 
-    def read(self, name: str, most: int = -1) -> bytes:
-        """A file's content, or its first bytes."""
+    def read(self, name: str, max_bytes: int = -1) -> bytes:
+        """Return a file's content; if `max_bytes` is not negative, at most its first `max_bytes` bytes."""
         ...
 
     def names(self) -> list[str]:
-        """The names of all files, sorted."""
+        """Return the names of all files, sorted."""
         ...
 
     def size(self, name: str) -> int:
-        """A file's size in bytes."""
+        """Return a file's size in bytes."""
         ...
 
     def remove(self, name: str) -> None:
@@ -49,12 +49,12 @@
         ...
 
     def reserve(self, name: str, size: int) -> None:
-        """Create a file whose blocks are allocated now; removing it frees them when the disk is full."""
+        """Create a file and allocate its blocks at once, so that removing it frees space on a full disk."""
         ...
 
 
 class RealDisk:
-    """A folder of the file system."""
+    """Implements `Disk` on a folder of the file system."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -85,10 +85,10 @@
         finally:
             os.close(fd)
 
-    def read(self, name: str, most: int = -1) -> bytes:
+    def read(self, name: str, max_bytes: int = -1) -> bytes:
         """See `Disk.read`."""
         with (self.folder / name).open("rb") as file:
-            return file.read(most)
+            return file.read(max_bytes)
 
     def names(self) -> list[str]:
         """See `Disk.names`."""
--- a/stepsail/trail/entries.py
+++ b/stepsail/trail/entries.py
@@ -1,7 +1,7 @@
-"""The entries of a trail, and the hash chain that binds them.
+"""The entries of a trail, and the hash chain over them.
 
-Each entry's link is the hash of the link before it and of the entry's bytes, so that no entry can be removed,
-inserted, moved or changed without every later link changing. Signed heads bind a link to a key.
+Each entry has a link: the hash of the previous entry's link and of the entry's bytes. Removing, inserting,
+moving or changing an entry therefore changes every later link. A signed head is a signature over a link.
 """
 
 from __future__ import annotations
@@ -15,27 +15,32 @@
 
 LINK_BYTES = 32
 DIGEST_BYTES = 16
-FIRST_LINK = bytes(LINK_BYTES)  # the link that a trail's first entry follows
+FIRST_LINK = bytes(LINK_BYTES)  # stands in for the previous link when the first entry is hashed
 
 
 class EntryKind(IntEnum):
-    """What an entry says. Numbers and field names are part of the format: never reuse one."""
+    """The kinds of entries. Numbers and field names are part of the format: never reuse one."""
 
+    # The comments list the fields of each kind in braces.
     START = 1  # {umpire, run, follows, link, key, public, old, signed}: the first entry of a segment
-    ANSWER = 2  # {receipt, product, verdict, status, digest, relays, label, request}: written before its first byte
-    SENT = 3  # {receipt, whole}: whether all of it was handed to the operating system
+    # {receipt, product, verdict, status, digest, relays, label, request}: a final answer, recorded before the
+    # first byte of its response is sent
+    ANSWER = 2
+    SENT = 3  # {receipt, whole}: whether the whole response was handed to the operating system
     RELEASE_STATE = 4  # {build, stage, phase, cap}
     VOTE = 5  # {build, stage, verdict, why}
     VOTE_ACKNOWLEDGED = 6  # {build, stage, receipt}
     ENDPOINT_STATE = 7  # {server, state}
     EXPOSURE = 8  # {build, relays, taken, cap, seconds}
-    GAP = 9  # {answers, why, since}: answers given while nothing could be written
+    GAP = 9  # {answers, why, since}: the number of answers sent while nothing could be written
     KEY_HANDOVER = 10  # {key, old, signed}: a new key, signed with the old one
-    RETIRED = 11  # {file, follows, link, why}: a sealed segment is removed; the next one follows that entry and link
+    # {file, follows, link, why}: a sealed segment is removed; `follows` and `link` are the position in the
+    # chain at which its successor begins
+    RETIRED = 11
 
     @property
     def exported_name(self) -> str:
-        """The kind's name on the command line and in exports, which other programs read."""
+        """Return the kind's name on the command line and in exports, which other programs read."""
         return _EXPORTED_NAMES.get(self, self.name.lower())
 
 
@@ -48,7 +53,7 @@
 
 
 class Entry(NamedTuple):
-    """One entry as decoded."""
+    """A decoded entry."""
 
     kind: int
     wall_time: float
@@ -60,23 +65,28 @@
 
 
 def encode(kind: EntryKind, wall_time: float, **fields: Any) -> bytes:
-    """The bytes of an entry."""
+    """Return the bytes of an entry."""
     return _ENCODER.encode((int(kind), wall_time, fields))
 
 
 def decode(data: bytes) -> Entry:
-    """The entry out of its bytes. Raises msgspec.MsgspecError."""
+    """Decode an entry. Raises msgspec.MsgspecError."""
     return _DECODER.decode(data)
 
 
 class ChainPosition(NamedTuple):
-    """A place in the chain: the number of the entry to come, and the link that it follows."""
+    """A position in the chain: the number of the next entry, and the link of the entry before it.
+
+    Attributes:
+        seq: The number of the next entry; entries are numbered from 0.
+        link: The link of the entry before it; `FIRST_LINK` at the start of the chain.
+    """
 
     seq: int
     link: bytes
 
     def after(self, entries: Iterable[bytes]) -> ChainPosition:
-        """The position behind further entries."""
+        """Return the position after appending these entries."""
         seq, link = self
         for entry in entries:
             link = next_link(link, entry)
@@ -88,10 +98,10 @@
 
 
 def next_link(link: bytes, entry: bytes) -> bytes:
-    """The link of an entry that follows `link`."""
+    """Return the link of an entry, given the link of the entry before it."""
     return hashlib.blake2b(link + entry, digest_size=LINK_BYTES).digest()
 
 
 def answer_digest(status: int, body: bytes) -> str:
-    """The hash by which the trail and the client compare an answer."""
+    """Return the hash of a response, by which a client's answer is compared with the recorded one."""
     return hashlib.blake2b(b"%d " % status + body, digest_size=DIGEST_BYTES).hexdigest()
--- a/stepsail/trail/folder.py
+++ b/stepsail/trail/folder.py
@@ -1,4 +1,4 @@
-"""What a trail's folder holds besides its segments: the lock and the signing key; sealing a stopped trail."""
+"""The lock and the signing key in a trail's folder, and sealing the trail of a stopped instance."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 def new_run_id() -> str:
-    """A random name for one process's part of a trail."""
+    """Return a random id for one run of an instance, from its start to its end."""
     return os.urandom(RUN_ID_BYTES).hex()
 
 
 def load_or_create_key(folder: Path, disk: Disk) -> SigningKey:
-    """The folder's key, or a new one where there is neither key nor trail.
+    """Load the folder's key, or create one if the folder contains neither a key nor a trail.
 
     Raises:
-        SigningKeyError: the key is lost, exposed, invalid, or not the one that signed the trail.
-        UnreadableSegmentError: the disk does not return a segment that would show who signed it.
+        SigningKeyError: The key is lost, exposed, invalid, or not the one that signed the trail.
+        UnreadableSegmentError: A segment that is needed to find the key that signed the trail cannot be read.
     """
     names = segment_names(disk)
     try:
@@ -46,7 +46,7 @@
 
 
 def lock_folder(folder: Path) -> int:
-    """A descriptor that locks the folder for this process. Raises TrailLockedError, OSError."""
+    """Lock the folder for this process and return the lock's descriptor. Raises TrailLockedError, OSError."""
     lock = os.open(folder / LOCK_FILE, os.O_CREAT | os.O_RDWR, FILE_MODE)
     try:
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -57,11 +57,11 @@
 
 
 def seal_trail(folder: Path) -> SignedHead | None:
-    """Sign the end of a stopped instance's trail in a new segment, and return that head.
+    """Sign the end of a stopped instance's trail with a head in a new segment, and return the head.
 
     Raises:
-        TrailError: the trail is locked, has no segment, cannot be read, or its key cannot be used.
-        OSError: the disk failed.
+        TrailError: The trail is locked, has no segment, cannot be read, or its key cannot be used.
+        OSError: The disk failed.
     """
     disk = RealDisk(folder)
     lock = lock_folder(folder)
--- a/stepsail/trail/keys.py
+++ b/stepsail/trail/keys.py
@@ -1,4 +1,4 @@
-"""The Ed25519 key that signs heads: created at first start, stored at mode 0600, handed over to a successor."""
+"""The Ed25519 key that signs heads: created at the first start, stored with mode 0600, and rotated."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 HANDOVER_FILE = "key.follows"
 KEY_MODE = 0o600
 PUBLIC_MODE = 0o644
-OTHERS_MODE = 0o077  # permissions of anybody but the owner
+NON_OWNER_MODE = 0o077  # the permission bits of the group and of other users
 KEY_ID_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Handover:
-    """The predecessor of a key, and its signature over the new public key (empty where it was lost)."""
+    """The id of a key's predecessor and its signature over the new key; both are empty if it was lost."""
 
     old_key_id: str
     signature: bytes
@@ -36,12 +36,12 @@
 
 
 def key_id(public: bytes) -> str:
-    """The short name of a public key."""
+    """Return the id of a public key: a short hash of it in hexadecimal."""
     return hashlib.blake2b(public, digest_size=KEY_ID_BYTES).hexdigest()
 
 
 class SigningKey:
-    """A private key and its public part."""
+    """An Ed25519 private key, its public key and its id."""
 
     def __init__(self, private: Ed25519PrivateKey) -> None:
         self.private = private
@@ -49,15 +49,15 @@
         self.id = key_id(self.public)
 
     def __repr__(self) -> str:
-        return f"SigningKey({self.id})"  # never the private part
+        return f"SigningKey({self.id})"  # never includes the private key
 
     def sign(self, message: bytes) -> bytes:
-        """The signature over a message."""
+        """Return the signature over a message."""
         return self.private.sign(message)
 
     @classmethod
     def create(cls, folder: Path) -> SigningKey:
-        """A new key, stored in the folder. Each file is replaced as a whole."""
+        """Create a key and store it in the folder. Each file is replaced atomically."""
         key = cls(Ed25519PrivateKey.generate())
         raw = key.private.private_bytes(Encoding.Raw, PrivateFormat.Raw, NoEncryption())
         _replace_file(folder / KEY_FILE, raw, KEY_MODE)
@@ -66,7 +66,7 @@
 
     @classmethod
     def rotate(cls, folder: Path) -> SigningKey:
-        """A new key in place of the folder's. The old one, where it is still there, signs the new one."""
+        """Replace the folder's key with a new one, which is signed with the old key if that can be loaded."""
         try:
             old: SigningKey | None = cls.load(folder)
         except (FileNotFoundError, SigningKeyError):
@@ -81,7 +81,7 @@
         return key
 
     def handover(self, folder: Path) -> Handover | None:
-        """What `rotate` stored about this key's predecessor; None where it has none."""
+        """Return the handover that `rotate` stored for this key, or None if there is none."""
         try:
             stored = json.loads((folder / HANDOVER_FILE).read_text())
             if stored["key"] != self.id:
@@ -92,10 +92,10 @@
 
     @classmethod
     def load(cls, folder: Path) -> SigningKey:
-        """The folder's key. Raises SigningKeyError, FileNotFoundError."""
+        """Load the folder's key. Raises SigningKeyError, FileNotFoundError."""
         file = folder / KEY_FILE
         mode = stat.S_IMODE(file.stat().st_mode)
-        if mode & OTHERS_MODE:
+        if mode & NON_OWNER_MODE:
             raise ExposedKeyError(file, mode)
         try:
             return cls(Ed25519PrivateKey.from_private_bytes(file.read_bytes()))
@@ -104,7 +104,7 @@
 
 
 def _replace_file(file: Path, data: bytes, mode: int) -> None:
-    """Write beside a file, sync, and move it into place."""
+    """Replace a file atomically: write and sync a temporary file, then rename it."""
     temporary = file.with_name(file.name + ".new")
     fd = os.open(temporary, os.O_CREAT | os.O_TRUNC | os.O_WRONLY, mode)
     with os.fdopen(fd, "wb") as out:
@@ -115,12 +115,12 @@
 
 
 def read_public_key(folder: Path) -> bytes:
-    """The public key that lies in a trail's folder."""
+    """Return the public key stored in a trail's folder."""
     return bytes.fromhex((folder / PUBLIC_FILE).read_text().strip())
 
 
 def signature_valid(public: bytes, message: bytes, signature: bytes) -> bool:
-    """Whether the owner of a public key signed this message."""
+    """Return whether the signature over the message is valid for this public key."""
     try:
         Ed25519PublicKey.from_public_bytes(public).verify(signature, message)
     except (InvalidSignature, ValueError):
@@ -129,10 +129,10 @@
 
 
 def head_message(instance: int, seq: int, link: bytes, wall_time: float) -> bytes:
-    """The message that a head's signature is made over."""
+    """Return the message that the signature of a head covers."""
     return b"stepsail trail head %d %d %s %.6f" % (instance, seq, link.hex().encode(), wall_time)
 
 
 def handover_message(public: bytes) -> bytes:
-    """The message that the old key signs when a new one follows it."""
+    """Return the message that the old key signs when a new key replaces it."""
     return b"stepsail trail key " + public.hex().encode()
--- a/stepsail/trail/log.py
+++ b/stepsail/trail/log.py
@@ -1,8 +1,8 @@
-"""The write side of a trail: appends entries to segments, syncs, signs heads and seals. Synchronous.
+"""Appends entries to the segments of a trail, syncs them, signs heads and seals segments. Synchronous.
 
-Nothing is ever appended to a segment that a failed write or sync has touched, nor to one from before a restart: a new
-segment begins and says which entry it follows, and what the old one holds beyond that does not count. So a torn tail
-stays where it is, and no byte that was written is changed.
+After a failed write or sync, and after a restart, nothing more is appended to the old segment. A new segment
+begins instead, and its START entry states the position in the chain at which it continues; entries of the old
+segment from that position on do not count. Torn tails stay in place, and no written byte is changed.
 """
 
 from __future__ import annotations
@@ -27,11 +27,21 @@
     segment_names,
 )
 
-DEFAULT_SEGMENT_BYTES = 16 << 20  # a restart reads the last segment only
+DEFAULT_SEGMENT_BYTES = 16 << 20  # bounds the time of a restart, which reads only the last segment
 
 
 class TrailLog:
-    """The log of one instance. After an OSError no segment is open; `open_segment` begins another one."""
+    """Appends to the trail of one instance.
+
+    After an OSError the caller closes the segment and rewinds; `open_segment` then begins a new one.
+
+    Attributes:
+        position: The position at which the next entry is appended.
+        next_segment: The number in the file name of the next segment.
+        signed_seq: The `seq` of the last signed head; -1 before the first.
+        segment_bytes: The size of the open segment.
+        fd: The descriptor of the open segment; None if none is open.
+    """
 
     def __init__(self, disk: Disk, instance: int, run_id: str, key: SigningKey, folder: Path) -> None:
         self.disk = disk
@@ -41,18 +51,19 @@
         self.folder = folder
         self.position = CHAIN_START
         self.next_segment = 0
-        self.signed_seq = -1  # the number that the last head signed
+        self.signed_seq = -1
         self.segment_bytes = 0
         self.fd: int | None = None
 
     def recover(self) -> list[str]:
-        """Find the end of the trail from its last segments; returns what is to be logged about them.
+        """Set the position to the end of the trail, and return messages about torn or damaged segments.
 
-        Reads backwards only until a segment with an entry: bounded by the size of a segment, not of the trail.
+        Reads segments from the last one backwards until one has an entry. The cost is therefore bounded by
+        the size of a segment, not of the trail. The caller logs the messages.
 
         Raises:
-            UnreadableSegmentError: the disk does not return a segment that is needed.
-            OSError: the folder cannot be read.
+            UnreadableSegmentError: A segment that is needed cannot be read.
+            OSError: The folder cannot be read.
         """
         notes: list[str] = []
         names = segment_names(self.disk)
@@ -65,14 +76,16 @@
             if not entries:
                 continue
             first_seq, first = entries[0]
-            begins = ChainPosition(first_seq, bytes(decode(first).fields["link"]))
+            first_position = ChainPosition(first_seq, bytes(decode(first).fields["link"]))
             last_seq, _ = entries[-1]
-            self.position = ChainPosition(last_seq + 1, begins.after(data for _, data in entries).link)
+            self.position = ChainPosition(
+                last_seq + 1, first_position.after(data for _, data in entries).link
+            )
             break
         return notes
 
     def open_segment(self, wall_time: float, entries: list[bytes]) -> None:
-        """Begin a segment with START and entries that are not yet known to be stored. Synced when it returns."""
+        """Begin and sync a segment with a START entry and these entries, which may not be stored yet."""
         self.close_segment()
         name = f"{self.next_segment:08d}-umpire{self.instance}{SUFFIX}"
         self.next_segment += 1
@@ -100,16 +113,16 @@
         self.disk.sync_folder()
 
     def append(self, entries: list[bytes], wall_time: float) -> None:
-        """Write entries as one frame. The position moves only once the write has gone through."""
+        """Write entries as one frame. The position advances only after the write has succeeded."""
         self._write(encode_frame(FrameKind.BATCH, join_entries(entries), self.position.seq, wall_time))
         self.position = self.position.after(entries)
 
     def sync(self) -> None:
-        """Return once what was appended is on stable storage."""
+        """Return once all appended entries are on stable storage."""
         self.disk.sync(self._open_fd())
 
     def sign_head(self, wall_time: float) -> SignedHead:
-        """Write a signed head of the position."""
+        """Sign the current position, and write and return the head."""
         seq, link = self.position
         signature = self.key.sign(head_message(self.instance, seq, link, wall_time))
         head = SignedHead(self.instance, seq, link, wall_time, self.key.id, signature)
@@ -118,12 +131,12 @@
         return head
 
     def rewind(self, position: ChainPosition) -> None:
-        """Go back to a position after a failed write or sync: what came behind it is written again."""
+        """Return to a position after a failed write or sync, so that the entries after it are written again."""
         self.position = position
 
     def retire(self, segment: SealedSegment, reason: str, wall_time: float) -> None:
-        """Remove a sealed segment. A signed entry that says so is safe on the disk before."""
-        before = self.position
+        """Remove a sealed segment after a signed RETIRED entry about the removal has been synced."""
+        position_before = self.position
         follows = segment.successor_follows
         entry = encode(
             EntryKind.RETIRED,
@@ -139,12 +152,12 @@
             self.sync()
         except OSError:
             self.close_segment()
-            self.rewind(before)
+            self.rewind(position_before)
             raise
         self.disk.remove(segment.name)
 
     def seal_segment(self, wall_time: float) -> SignedHead | None:
-        """Sign, sync and close the open segment; its last head, or None where none is open."""
+        """Sign, sync and close the open segment, and return its last head; None if no segment is open."""
         if self.fd is None:
             return None
         head = self.sign_head(wall_time)
@@ -153,7 +166,10 @@
         return head
 
     def close_segment(self) -> None:
-        """Close the open segment as it is. Nothing more is written to it, so errors on closing don't matter."""
+        """Close the open segment without a final head or sync.
+
+        Errors on closing are ignored, as nothing more is written to the segment.
+        """
         if self.fd is None:
             return
         fd = self.fd
@@ -171,10 +187,12 @@
 
 
 def _recovery_notes(segment: Segment) -> list[str]:
-    """What a crash or damage left at the end of a segment."""
+    """Return messages about the torn tail or the damage in a segment."""
     notes: list[str] = []
     if segment.damaged:
-        notes.append(f"{segment.damaged}; what follows there does not count, and an audit will say so")
+        notes.append(
+            f"{segment.damaged}; the rest of the segment is ignored, and an audit will report the damage"
+        )
     if segment.torn_at is not None:
-        notes.append(f"{segment.name}: a torn tail at byte {segment.torn_at} does not count")
+        notes.append(f"{segment.name}: ignoring a torn tail at byte {segment.torn_at}")
     return notes
--- a/stepsail/trail/reader.py
+++ b/stepsail/trail/reader.py
@@ -1,4 +1,4 @@
-"""Reads a trail, also while its instance goes on writing it. Holds two segments at a time."""
+"""Reads a trail, even while its instance is writing it, with at most two segments in memory."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CommittedEntry(NamedTuple):
-    """An entry that counts: its segment's name, its number, and its bytes."""
+    """An entry that belongs to the chain: its segment's name, its number, and its bytes."""
 
     segment: str
     seq: int
@@ -20,9 +20,9 @@
 
 
 def read_segments(disk: Disk, folder: Path) -> Iterator[Segment]:
-    """Each segment as found; one that the disk does not return has `unreadable` set.
+    """Yield each segment; for one that cannot be read, `read_error` is set.
 
-    A segment at the beginning that a live writer has just retired is passed over.
+    The oldest segments are skipped if their files are gone, as a live writer may have just retired them.
     """
     any_read = False
     for name in segment_names(disk):
@@ -30,33 +30,36 @@
             data = disk.read(name)
         except OSError as error:
             if any_read or not isinstance(error, FileNotFoundError):
-                yield Segment(name, b"", unreadable=error)
+                yield Segment(name, b"", read_error=error)
         else:
             yield parse_segment(name, data, folder / name)
             any_read = True
 
 
 def committed_entries(disk: Disk, folder: Path) -> Iterator[CommittedEntry]:
-    """The entries that count, in order: of each segment those before the one that the next segment follows.
+    """Yield the entries that belong to the chain, in order.
 
-    Raises OSError where a segment cannot be read.
+    Of each segment, these are the entries before the position at which the next segment begins.
+
+    Raises:
+        OSError: A segment cannot be read.
     """
     previous: Segment | None = None
     for segment in read_segments(disk, folder):
-        if segment.unreadable:
-            raise segment.unreadable
+        if segment.read_error:
+            raise segment.read_error
         start = segment.start()
         if start is None:
-            continue  # it was cut short before its START: nothing of it counts
+            continue  # a crash cut it short before its START entry, so it has no entries in the chain
         if previous is not None:
-            until = start.follows.seq
-            yield from (CommittedEntry(previous.name, *e) for e in previous.entries() if e[0] < until)
+            end_seq = start.follows.seq
+            yield from (CommittedEntry(previous.name, *e) for e in previous.entries() if e[0] < end_seq)
         previous = segment
     if previous is not None:
         yield from (CommittedEntry(previous.name, *entry) for entry in previous.entries())
 
 
 def read_entries(folder: Path) -> Iterator[tuple[int, Entry]]:
-    """The entries that count, numbered and decoded."""
+    """Yield the entries that belong to the chain, with their numbers, decoded."""
     for _, seq, data in committed_entries(RealDisk(folder), folder):
         yield seq, decode(data)
--- a/stepsail/trail/reconcile.py
+++ b/stepsail/trail/reconcile.py
@@ -1,4 +1,4 @@
-"""Compares trails with what clients received, and merges the trails of several instances. No I/O."""
+"""Compares trails with the answers that clients received, and merges trails of several instances. No I/O."""
 
 from __future__ import annotations
 
@@ -15,28 +15,37 @@
 
 @dataclass
 class Reconciliation:
-    """The result of a comparison."""
+    """The result of comparing a trail with the answers that clients received.
+
+    Attributes:
+        received: The number of answers that clients received.
+        recorded: The number of answers in the trail.
+        matching: The number of received answers that equal the recorded ones.
+        unconfirmed: The number of recorded answers without a SENT entry that no client received.
+        discrepancies: Differences, as messages.
+    """
 
     received: int = 0
     recorded: int = 0
     matching: int = 0
-    unconfirmed: int = 0  # recorded, with no entry that it was sent, and not received
+    unconfirmed: int = 0
     discrepancies: list[str] = field(default_factory=list)
 
 
 class RecordedAnswer(NamedTuple):
-    """An answer to a request as one instance recorded it."""
+    """An answer to a request, as recorded by one instance."""
 
     wall_time: float
     trail: str
     fields: dict[str, Any]
 
 
-def reconcile(trail: Iterable[tuple[int, Entry]], client_lines: Iterable[dict[str, Any]]) -> Reconciliation:
-    """Check that every answer that a client holds is in the trail once and as it was received.
+def reconcile(trail: Iterable[tuple[int, Entry]], client_answers: Iterable[dict[str, Any]]) -> Reconciliation:
+    """Check that every answer that a client received is in the trail exactly once, and unchanged.
 
-    `client_lines` hold receipt, verdict, status and digest; an answer without a receipt is a discrepancy. Where a
-    trail begins later, as segments were retired, a SENT whose ANSWER was removed with them is none.
+    Each of `client_answers` has a receipt, a verdict, a status and a digest; one without a receipt is a
+    discrepancy. If older segments of the trail were retired, a SENT entry without its ANSWER entry is not a
+    discrepancy, as the ANSWER may have been removed with them.
     """
     result = Reconciliation()
     recorded: dict[str, dict[str, Any]] = {}
@@ -47,17 +56,19 @@
             first_seq = seq
         if kind == EntryKind.ANSWER:
             if fields["receipt"] in recorded:
-                result.discrepancies.append(f"entry {seq}: {fields['receipt']} stands twice")
+                result.discrepancies.append(f"entry {seq}: second ANSWER entry for {fields['receipt']}")
             recorded[fields["receipt"]] = fields
         elif kind == EntryKind.SENT:
             sent.add(fields["receipt"])
             if fields["receipt"] not in recorded and not first_seq:
-                result.discrepancies.append(f"entry {seq}: sent, and never kept: {fields['receipt']}")
+                result.discrepancies.append(
+                    f"entry {seq}: SENT entry without an ANSWER entry: {fields['receipt']}"
+                )
     seen: set[str] = set()
-    for line in client_lines:
-        receipt = line.get("receipt", "")
+    for client_answer in client_answers:
+        receipt = client_answer.get("receipt", "")
         result.received += 1
-        discrepancy = _compare(receipt, line, recorded, seen, first_seq or 0)
+        discrepancy = _compare(receipt, client_answer, recorded, seen, first_seq or 0)
         if discrepancy:
             result.discrepancies.append(discrepancy)
         else:
@@ -70,27 +81,28 @@
 
 def _compare(
     receipt: str,
-    line: dict[str, Any],
+    client_answer: dict[str, Any],
     recorded: Mapping[str, dict[str, Any]],
     seen: set[str],
     first_seq: int,
 ) -> str | None:
-    """How a client's line differs from the trail; None where it does not."""
+    """Return how a client's answer differs from the recorded one; None if it does not."""
     if receipt in seen:
         return f"{receipt or 'no receipt'}: received twice"
-    answer = recorded.get(receipt)
-    if answer is None:
-        older = f", which begins at entry {first_seq}: older files were retired" if first_seq else ""
-        return f"{receipt or 'no receipt'}: received, and not in the trail{older}"
-    if any(answer[name] != line[name] for name in COMPARED_FIELDS):
-        return f"{receipt}: the client received something else than the trail has"
+    recorded_answer = recorded.get(receipt)
+    if recorded_answer is None:
+        retired = f", which begins at entry {first_seq}: older segments were retired" if first_seq else ""
+        return f"{receipt or 'no receipt'}: received, but not in the trail{retired}"
+    if any(recorded_answer[name] != client_answer[name] for name in COMPARED_FIELDS):
+        return f"{receipt}: the client received a different answer than the trail records"
     return None
 
 
 def merge(trails: Mapping[str, Iterable[tuple[int, Entry]]]) -> dict[str, list[RecordedAnswer]]:
-    """The answers of several trails in order of time, by idempotency key, or by the client's request without one.
+    """Group the answers of several trails by request, each group in the order of time.
 
-    So a request and its retries at other instances stand together.
+    The key of a group is the idempotency key, else the client's request id, else the receipt. The answers to
+    a request and to its retries at other instances are therefore in one group.
     """
     answers: dict[str, list[RecordedAnswer]] = defaultdict(list)
     for name, trail in trails.items():
@@ -98,4 +110,7 @@
             if kind == EntryKind.ANSWER:
                 request = fields["label"] or fields["request"] or fields["receipt"]
                 answers[request].append(RecordedAnswer(wall_time, name, fields))
-    return {request: sorted(found, key=attrgetter("wall_time")) for request, found in answers.items()}
+    return {
+        request: sorted(request_answers, key=attrgetter("wall_time"))
+        for request, request_answers in answers.items()
+    }
--- a/stepsail/trail/retention.py
+++ b/stepsail/trail/retention.py
@@ -1,7 +1,8 @@
-"""Which segments of a trail may be removed, by age and size. No I/O, no clock of its own.
+"""Decides which segments of a trail to remove by age and size. No I/O; the caller passes the time.
 
-Only sealed segments are removed: those that a later one follows under a signed head that is safe on the disk. The
-oldest goes first and none between is left out, so that what remains is one chain. The live segment never goes.
+Only sealed segments are removed: those with a successor in which a signed head has been synced. They are
+removed from the oldest on, without skipping any, so that the remaining segments form one chain. The live
+segment is never removed.
 """
 
 from __future__ import annotations
@@ -12,74 +13,83 @@
 
 from stepsail.trail.entries import ChainPosition
 
-MAX_SEGMENTS_PER_PASS = 8  # answers wait for the trail's thread during a pass
-PASS_INTERVAL = 60.0  # s between passes when no segment was begun
-CLOCK_JUMP = 60.0  # s by which the wall clock may drift between passes
-CLOCK_SETTLE_TIME = 3600.0  # s after a jump during which age removes nothing
+MAX_SEGMENTS_PER_PASS = 8  # kept low, as answers wait for the trail's thread during a pass
+PASS_INTERVAL = 60.0  # s between passes; a pass also follows the beginning of a new segment
+CLOCK_JUMP = 60.0  # s by which the wall clock may drift from the monotonic clock between passes
+CLOCK_SETTLE_TIME = 3600.0  # s after a jump during which no segment is removed by age
 
 
 @dataclass(frozen=True, slots=True)
 class SealedSegment:
-    """A segment before the live one, with when and where its successor begins."""
+    """A segment that has a successor, with the time and chain position at which the successor begins."""
 
     name: str
     size: int
-    followed_at: float  # wall clock at which the successor began
+    successor_started_at: float  # wall-clock time
     successor_follows: ChainPosition
 
 
 class RemovalReason(StrEnum):
-    """Which limit a segment exceeds; the words stand in RETIRED entries."""
+    """Which limit a segment exceeds; the values are stored in RETIRED entries."""
 
     AGE = "age"
     SIZE = "size"
 
 
 class Removal(NamedTuple):
-    """A segment to be removed, and why."""
+    """A segment to be removed, and the limit that it exceeds."""
 
     segment: SealedSegment
     reason: RemovalReason
 
 
 class Retention:
-    """The limits of one trail. A limit of 0 is none; `max_bytes` counts the live segment too."""
+    """The retention limits of one trail. 0 means no limit; `max_bytes` includes the live segment."""
 
     def __init__(self, max_age: float, max_bytes: int) -> None:
         self.max_age = max_age
         self.max_bytes = max_bytes
         self.next_pass_at = 0.0
-        self._clock_offset: float | None = None  # wall clock less the monotonic one, at the last pass
-        self._age_unknown_until = 0.0
+        self._clock_offset: float | None = None  # wall clock minus monotonic clock, at the last pass
+        self._age_limit_suspended_until = 0.0
 
     @property
-    def limited(self) -> bool:
-        """Whether there is any limit."""
+    def has_limits(self) -> bool:
+        """Return whether there is a limit of age or size."""
         return bool(self.max_age or self.max_bytes)
 
     def due(self, now: float) -> bool:
-        """Whether a pass is to be made, by the monotonic clock; the next is due after PASS_INTERVAL."""
-        if not self.limited or now < self.next_pass_at:
+        """Return whether a pass is due at `now`, a monotonic time; if so, schedule the next one."""
+        if not self.has_limits or now < self.next_pass_at:
             return False
         self.next_pass_at = now + PASS_INTERVAL
         return True
 
-    def choose(
+    def choose_removals(
         self, oldest: list[SealedSegment], total_bytes: int, now: float, wall_time: float
     ) -> list[Removal]:
-        """The segments to remove, oldest first. `total_bytes` counts all segments, the live one too.
+        """Return the segments to remove, oldest first.
 
-        A wall clock that is set forward makes every segment look old. So after a jump age removes nothing for
-        CLOCK_SETTLE_TIME, also where the clock is set right again; segments then stay an hour longer.
+        A wall clock that is set forward makes every segment look old. After a jump, the age limit is
+        therefore suspended for CLOCK_SETTLE_TIME, even if the clock is corrected in the meantime; segments
+        then stay an hour longer.
+
+        Args:
+            oldest: The oldest sealed segments, oldest first.
+            total_bytes: The size of all segments, including the live one.
+            now: The monotonic clock.
+            wall_time: The wall clock.
         """
         offset = wall_time - now
         if self._clock_offset is not None and abs(offset - self._clock_offset) > CLOCK_JUMP:
-            self._age_unknown_until = now + CLOCK_SETTLE_TIME
+            self._age_limit_suspended_until = now + CLOCK_SETTLE_TIME
         self._clock_offset = offset
-        age_known = now >= self._age_unknown_until
+        age_limit_active = now >= self._age_limit_suspended_until
         removals: list[Removal] = []
         for segment in oldest[:MAX_SEGMENTS_PER_PASS]:
-            too_old = self.max_age and age_known and wall_time - segment.followed_at > self.max_age
+            too_old = (
+                self.max_age and age_limit_active and wall_time - segment.successor_started_at > self.max_age
+            )
             too_large = self.max_bytes and total_bytes > self.max_bytes
             if not (too_old or too_large):
                 break
--- a/stepsail/trail/segments.py
+++ b/stepsail/trail/segments.py
@@ -1,7 +1,7 @@
-"""The segments of a trail as they are read: frames of entries, and signed heads between them.
+"""Reads the segments of a trail: files of frames that hold batches of entries or signed heads.
 
-A segment begins with a line of text and a START entry that names the entry and link it follows, then come batches and
-heads; a sealed one ends with a head.
+A segment begins with a line of text and a START entry, which states the segment's position in the chain.
+Batches and heads follow; a sealed segment ends with a head.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 TITLE = b"stepsail trail 1\n"
 SUFFIX = ".trail"
-START_READ_BYTES = 4096  # at a segment's beginning; its START usually lies within
+START_READ_BYTES = 4096  # read from the beginning of a segment; usually includes its START entry
 
 
 class FrameKind(IntEnum):
-    """What a frame of a segment holds. Numbers are part of the format."""
+    """The kinds of frames in a segment. Numbers are part of the format."""
 
     BATCH = 1
     HEAD = 2
@@ -39,7 +39,10 @@
     frozen=True,
     rename={"instance": "umpire", "link": "chain", "wall_time": "wall", "key_id": "key"},
 ):
-    """A signed link: it binds all entries before `seq`. The stored names are those of the first format."""
+    """A signature over the link before entry `seq`, and thereby over all earlier entries.
+
+    The fields are stored under the names that they had in the first version of the format.
+    """
 
     instance: int
     seq: int
@@ -49,58 +52,65 @@
     signature: bytes
 
     def message(self) -> bytes:
-        """The message that the signature is made over."""
+        """Return the message that the signature covers."""
         return head_message(self.instance, self.seq, self.link, self.wall_time)
 
 
 @dataclass(frozen=True, slots=True)
 class StartEntry:
-    """The first entry of a segment. Its fields are read as they are asked for: earlier ones hold fewer."""
+    """The first entry of a segment. Each property reads its own field, as older trails lack some of them."""
 
     wall_time: float
     fields: dict[str, Any]
 
     @property
     def follows(self) -> ChainPosition:
-        """The position in the chain at which the segment begins."""
+        """Return the position in the chain at which the segment begins."""
         return ChainPosition(int(self.fields["follows"]), bytes(self.fields["link"]))
 
     @property
     def key_id(self) -> str:
-        """The key that signs the segment's heads."""
+        """Return the id of the key that signs the segment's heads."""
         key_id: str = self.fields["key"]
         return key_id
 
     @property
     def public_key(self) -> bytes:
-        """The public part of that key."""
+        """Return the public key that belongs to `key_id`."""
         return bytes(self.fields["public"])
 
     @property
     def old_key_id(self) -> str:
-        """The key that handed over to this one; empty for none."""
+        """Return the id of the key that preceded `key_id`; empty if there is none."""
         old_key_id: str = self.fields.get("old", "")
         return old_key_id
 
     @property
     def handover_signature(self) -> bytes:
-        """The old key's signature over this key; empty for none."""
+        """Return the old key's signature over `public_key`; empty if there is none."""
         return bytes(self.fields.get("signed", b""))
 
 
 @dataclass
 class Segment:
-    """One file as found: its frames, and where reading ended before the file did."""
+    """A segment file as read.
+
+    Attributes:
+        frames: The frames that could be read, in the order of the file.
+        torn_at: The offset of a tail that a crash cut short; None if there is none.
+        damaged: The damage at which reading stopped; None if there is none.
+        read_error: The error with which reading the file failed; None if it was read.
+    """
 
     name: str
     data: bytes
     frames: list[Frame] = field(default_factory=list)
     torn_at: int | None = None
     damaged: DamagedFileError | None = None
-    unreadable: OSError | None = None
+    read_error: OSError | None = None
 
     def contents(self) -> Iterator[tuple[int, bytes | SignedHead]]:
-        """Numbered entries as bytes, and heads with the number that they sign, in the order of the file."""
+        """Yield the encoded entries with their numbers and the heads with their `seq`, in file order."""
         for frame in self.frames:
             if frame.kind == FrameKind.BATCH:
                 yield from self._batch(frame)
@@ -109,20 +119,20 @@
                 yield head.seq, head
 
     def entries(self) -> Iterator[tuple[int, bytes]]:
-        """Numbered entries as bytes."""
+        """Yield the encoded entries with their numbers."""
         for frame in self.frames:
             if frame.kind == FrameKind.BATCH:
                 yield from self._batch(frame)
 
     def start(self) -> StartEntry | None:
-        """The START; None where there is no entry, or the first is of another kind."""
+        """Return the START entry; None if the segment has no entry, or its first entry is of another kind."""
         first = next((decode(data) for _, data in self.entries()), None)
         if first is None or first.kind != EntryKind.START:
             return None
         return StartEntry(first.wall_time, first.fields)
 
     def heads(self) -> Iterator[SignedHead]:
-        """The heads, in order."""
+        """Yield the heads in the order of the file."""
         return (self._head(frame) for frame in self.frames if frame.kind == FrameKind.HEAD)
 
     def _batch(self, frame: Frame) -> Iterator[tuple[int, bytes]]:
@@ -134,13 +144,16 @@
 
 
 def parse_segment(name: str, data: bytes, file: Path) -> Segment:
-    """What can be read of a segment. A torn tail is no damage; `damaged` holds what else ended the reading."""
+    """Parse a segment as far as possible.
+
+    A torn tail sets `torn_at` and does not count as damage; any other invalid data sets `damaged`.
+    """
     segment = Segment(name, data)
     if not data.startswith(TITLE):
         if TITLE.startswith(data):
             segment.torn_at = 0
         else:
-            segment.damaged = DamagedFileError(file, 0, "this is no trail")
+            segment.damaged = DamagedFileError(file, 0, "not a trail segment")
         return segment
     offset = len(TITLE)
     while offset < len(data):
@@ -158,12 +171,12 @@
 
 
 def segment_names(disk: Disk) -> list[str]:
-    """The names of all segments, oldest first."""
+    """Return the names of all segments, oldest first."""
     return [name for name in disk.names() if name.endswith(SUFFIX)]
 
 
 def read_required_segment(disk: Disk, name: str, folder: Path) -> Segment:
-    """A segment without which a trail cannot be continued. Raises UnreadableSegmentError."""
+    """Read a segment without which the trail cannot be continued. Raises UnreadableSegmentError."""
     try:
         return parse_segment(name, disk.read(name), folder / name)
     except OSError as error:
@@ -172,14 +185,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SealedSegments:
-    """The oldest sealed segments, and the size of all segments together."""
+    """The oldest sealed segments, and the total size of all segments."""
 
     oldest: list[SealedSegment]
     total_bytes: int
 
 
 class SegmentCatalog:
-    """The segments of a trail as retention sees them. Sealed ones never change: each size is looked up once."""
+    """Lists segments for retention. The sizes of sealed segments are cached, as these files never change."""
 
     def __init__(self, disk: Disk, folder: Path) -> None:
         self.disk = disk
@@ -187,7 +200,7 @@
         self._sealed_sizes: dict[str, int] = {}
 
     def sealed(self, limit: int) -> SealedSegments:
-        """Up to `limit` segments that have a successor, oldest first. Raises OSError."""
+        """Return up to `limit` segments that have a successor, oldest first. Raises OSError."""
         names = segment_names(self.disk)
         sizes = self._sealed_sizes
         self._sealed_sizes = {name: sizes.get(name) or self.disk.size(name) for name in names[:-1]}
@@ -201,11 +214,11 @@
         return SealedSegments(oldest, total)
 
     def _first_start(self, names: list[str]) -> StartEntry | None:
-        """The first START in these segments; a crash may have cut one short before its START."""
-        starts = (self._start(name) for name in names)
+        """Return the first START entry in these segments; a crash may have cut a segment short before it."""
+        starts = (self._read_start(name) for name in names)
         return next((start for start in starts if start is not None), None)
 
-    def _start(self, name: str) -> StartEntry | None:
+    def _read_start(self, name: str) -> StartEntry | None:
         data = self.disk.read(name, START_READ_BYTES)
         segment = parse_segment(name, data, self.folder / name)
         if not segment.frames and len(data) == START_READ_BYTES:
--- a/tests/trail/test_earlier_files.py
+++ b/tests/trail/test_earlier_files.py
@@ -1,7 +1,8 @@
-"""Trails written before the code was renamed: they verify, print the same, are appended to, and are written the same.
+"""Tests that a trail of an earlier build verifies, prints as before, can be continued, and keeps its format.
 
-`before-names/` holds a trail of two processes with a change of key, a retired segment and a torn tail, the first
-process's key, and what the command line of that build printed of it.
+`before-names/` contains a trail that was written before the code was renamed: by two processes, with a change
+of key, a retired segment and a torn tail. It also contains the first process's key, and what the command line
+of that build printed of the trail.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 @pytest.fixture
 def earlier_trail(tmp_path: Path) -> Path:
-    """A copy of the earlier trail, its key readable by its owner alone."""
+    """Copy the earlier trail, with a key file that only its owner can read."""
     folder = tmp_path / "trail"
     shutil.copytree(EARLIER / "trail", folder)
     (folder / KEY_FILE).chmod(0o600)
@@ -104,7 +105,7 @@
 
 
 def test_same_entries_are_written_as_the_same_bytes(tmp_path: Path) -> None:
-    """With the earlier keys, clock readings and run names, each file comes out byte for byte."""
+    """With the keys, clock readings and run ids of the earlier trail, each file is written byte for byte."""
     disk = RealDisk(tmp_path)
     shutil.copy(EARLIER / "first-key", tmp_path / KEY_FILE)
     (tmp_path / KEY_FILE).chmod(0o600)
@@ -115,8 +116,8 @@
     log.append([answer(0), sent(0)], 1001.0)
     log.seal_segment(1002.0)
     log.open_segment(1002.0, [])
-    news = encode(EntryKind.RELEASE_STATE, 1003.0, build=2, stage=1, phase="trial", cap=0.05)
-    log.append([news, answer(1)], 1003.0)
+    release_state = encode(EntryKind.RELEASE_STATE, 1003.0, build=2, stage=1, phase="trial", cap=0.05)
+    log.append([release_state, answer(1)], 1003.0)
     log.sign_head(1003.5)
     log.append(
         [
--- a/tests/trail_samples.py
+++ b/tests/trail_samples.py
@@ -1,4 +1,4 @@
-"""Entries of audit trails that several tests write and read."""
+"""Helpers with which several tests write and read entries of audit trails."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def answer(number: int) -> bytes:
-    """An ANSWER, told from others by its receipt."""
+    """Return an ANSWER entry with the receipt `r<number>`."""
     receipt = f"r{number}"
     return encode(
         EntryKind.ANSWER, 1000.0 + number, receipt=receipt, verdict="handled", status=200, digest="d"
@@ -18,6 +18,6 @@
 
 
 def receipts(disk: Disk, folder: Path) -> list[str]:
-    """The receipts of the answers that count, in order."""
+    """Return the receipts of the answers in the chain, in order."""
     entries = [decode(data) for _, _, data in committed_entries(disk, folder)]
     return [entry.fields["receipt"] for entry in entries if entry.kind == EntryKind.ANSWER]
