--- a/bench/replay_days.py
+++ b/bench/replay_days.py
@@ -19,7 +19,7 @@
 import click
 
 from stepsail import decisions
-from stepsail.capture.folder import entries_of, read_runs, replay_stretch
+from stepsail.capture.folder import entries_of, read_runs, replay_segments
 from stepsail.capture.other_builds import load_build
 
 # One constant each, changed by little: module of the package, text, text in its place.
@@ -84,15 +84,15 @@
     found["damaged"] = len(damaged)
     for run in runs:
         found["runs"] += 1
-        for stretch in run.stretches():
+        for segments in run.contiguous_segments():
             start = time.process_time()
-            replayed = replay_stretch(stretch, decisions)
+            replayed = replay_segments(segments, decisions)
             found["took"] += time.process_time() - start
             found["entries"] += replayed.entries
             found["differ"] += replayed.differing
             found["taken"] += replayed.event_counts.get("request_accepted", 0)
-            found["bytes"] += sum(len(s.data) for s in stretch)
-            found["seconds"] += replayed.host.clock - next(entries_of(stretch))[1].clock
+            found["bytes"] += sum(len(s.data) for s in segments)
+            found["seconds"] += replayed.host.clock - next(entries_of(segments))[1].clock
     return found
 
 
@@ -113,11 +113,11 @@
         s
         for seed in range(1, 1 + min(5, seeds))
         for r in read_runs(out / f"seed-{seed}" / "kept").runs
-        for s in r.stretches()
+        for s in r.contiguous_segments()
     ]
     for number, (module, old, new) in enumerate(MUTANTS):
         other = mutated(out / f"mutant-{number}", module, old, new)
-        parted = [replay_stretch(s, other).first_difference for s in some]
+        parted = [replay_segments(s, other).first_difference for s in some]
         firsts = sorted(d.number for d in parted if d)
         rows.append(f"| `{old}` | `{new}` | {len(firsts)} of {len(some)} | {firsts[0] if firsts else ''} |")
     text = "\n".join(
--- a/stepsail/adapter/__main__.py
+++ b/stepsail/adapter/__main__.py
@@ -17,7 +17,7 @@
 def recording_router_factory(folder: Path) -> MakeRouter:
     """Return a router factory that records the events and commands of each router in a capture."""
     # Imported here to keep the start fast: the simulator starts many processes without a capture.
-    from stepsail.capture.recorder import recording
+    from stepsail.capture.recorder import with_recording
     from stepsail.capture.writer import CaptureWriter, fingerprint
 
     def log_event(event: str, **fields: object) -> None:
@@ -26,7 +26,7 @@
     def make_recording_router(settings: RouterSettings, host: RouterHost, seed: int) -> RouterHandle:
         writer = CaptureWriter(folder, settings.instance_index, fingerprint(Router), log_event)
         atexit.register(writer.close)
-        return recording(Router, writer)(settings, host, seed)
+        return with_recording(Router, writer)(settings, host, seed)
 
     return make_recording_router
 
--- a/stepsail/capture/__init__.py
+++ b/stepsail/capture/__init__.py
@@ -1,7 +1,7 @@
-"""Captures: recordings of the events and commands of a router as files, and their replay, entry for entry."""
+"""Captures record the events and commands of a router in files, which can be replayed entry by entry."""
 
 from stepsail.capture.blocks import Segment, read_segment
-from stepsail.capture.recorder import recording
+from stepsail.capture.recorder import with_recording
 from stepsail.capture.replay import Difference, ReplayResult, replay
 from stepsail.capture.sink import Sink
 from stepsail.capture.writer import CaptureWriter
@@ -15,6 +15,6 @@
     "Segment",
     "Sink",
     "read_segment",
-    "recording",
+    "with_recording",
     "replay",
 ]
--- a/stepsail/capture/blocks.py
+++ b/stepsail/capture/blocks.py
@@ -1,7 +1,8 @@
-"""The file format of a capture: segments of checksummed blocks with an index at the end, and their reader.
+"""The file format of a capture, and its reader: segments of checksummed blocks, with an index at the end.
 
-A segment begins with a line of text, `stepsail capture N`; its blocks are frames (`store/frames.py`). The last one
-holds the offsets and times of the others; a segment without it was not closed.
+A segment is a file. It begins with a title line, `stepsail capture N`, where N is the version of the format;
+its blocks are frames (`store/frames.py`). The last block is an index: it contains the offset, first entry and
+clock reading of each block of entries. A segment without this block was not closed.
 """
 
 from __future__ import annotations
@@ -19,33 +20,42 @@
 from stepsail.capture.entries import DECODER, DECODER_FORMAT_1, Entry
 from stepsail.store.frames import DamagedFileError, Frame, encode_frame, read_frame, split_entries
 
-VERSION = 2  # since 2, entries hold the error that the router raised
+VERSION = 2  # since version 2, an entry holds the error that the router raised
 OLDEST_VERSION = 1
 TITLE_PREFIX = b"stepsail capture "
 TITLE = TITLE_PREFIX + b"%d\n"
 MAX_TITLE_BYTES = 64
-MAX_BLOCK_BYTES = 64 << 20  # unpacked; a larger claim is damage
+MAX_BLOCK_BYTES = 64 << 20  # uncompressed; a block whose header states more is damaged
 COMPRESSION_LEVEL = 3
 
 
 class BlockKind(IntEnum):
-    """What a block holds. Numbers are part of the format."""
+    """The kind of content of a block. The numbers are part of the format."""
 
     META = 1
-    STATE = 2
+    SNAPSHOT = 2
     ENTRIES = 3
     END = 5
 
 
 def encode_block(kind: BlockKind, payload: bytes, first_entry: int, clock: float) -> bytes:
-    """The bytes of one block; the payload is compressed here."""
-    packed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(payload)
-    return encode_frame(kind, packed, first_entry, clock)
+    """Compress a payload and return the bytes of its block."""
+    compressed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(payload)
+    return encode_frame(kind, compressed, first_entry, clock)
 
 
 @dataclass
 class Segment:
-    """One file, checked whole. `torn_at`: where a tail begins that a crash cut short, else None."""
+    """The content of one capture file, with all checksums verified.
+
+    Attributes:
+        version: Version of the file format.
+        data: All bytes of the file.
+        meta: The segment's header.
+        blocks: All blocks, including the header and the index.
+        sealed: Whether the segment was closed, so that it ends with an index.
+        torn_at: Offset at which an incomplete block begins that a crash cut short; None: there is none.
+    """
 
     file: Path
     version: int
@@ -56,21 +66,26 @@
     torn_at: int | None = None
 
     def payload(self, block: Frame) -> bytes:
-        """A block's payload, unpacked. Raises DamagedFileError."""
-        packed = block.payload(self.data)
+        """Return the uncompressed payload of a block. Raises DamagedFileError."""
+        compressed = block.payload(self.data)
         try:
-            return zstandard.ZstdDecompressor().decompress(packed, max_output_size=MAX_BLOCK_BYTES)
+            return zstandard.ZstdDecompressor().decompress(compressed, max_output_size=MAX_BLOCK_BYTES)
         except zstandard.ZstdError as error:
             raise DamagedFileError(self.file, block.offset, str(error)) from None
 
-    def state(self) -> bytes | None:
-        """The snapshot at its start; None where the segment begins with the router's own start."""
-        return next((self.payload(block) for block in self.blocks if block.kind == BlockKind.STATE), None)
+    def snapshot(self) -> bytes | None:
+        """Return the snapshot of the router at the segment's start; None if the router was created there."""
+        return next((self.payload(block) for block in self.blocks if block.kind == BlockKind.SNAPSHOT), None)
 
     def entries(self, since: float | None = None) -> Iterator[tuple[int, Entry]]:
-        """Numbered entries; with a clock reading, from the last block on that begins by then.
+        """Yield the entries with their numbers.
+
+        Args:
+            since: Clock reading. Blocks before the one that contains it are skipped without being
+                uncompressed, so the first entries yielded may still be earlier. None: all entries.
 
-        Raises DamagedFileError.
+        Raises:
+            DamagedFileError: A block of entries cannot be decoded.
         """
         decode: Callable[[bytes], tuple[Any, ...]] = (
             DECODER_FORMAT_1.decode if self.version == 1 else DECODER.decode
@@ -92,12 +107,12 @@
         return earlier[-1:] + [block for block in blocks if block.clock > since]
 
     def count(self) -> int:
-        """The number of entries. Raises DamagedFileError."""
+        """Return the number of entries. Raises DamagedFileError."""
         return sum(1 for _ in self.entries())
 
 
 def read_segment(file: Path) -> Segment:
-    """Read a segment and check every byte; a torn tail is no damage. Raises DamagedFileError, OSError."""
+    """Read a segment and verify its checksums; a torn tail is no damage. Raises DamagedFileError, OSError."""
     data = file.read_bytes()
     title = data[: data.find(b"\n", 0, MAX_TITLE_BYTES) + 1]
     versions = {TITLE % version: version for version in range(OLDEST_VERSION, VERSION + 1)}
@@ -117,26 +132,24 @@
 
 
 def _read_without_title(file: Path, data: bytes, title: bytes) -> Segment:
-    """A segment that a crash cut short in its first line. Raises DamagedFileError for any other file."""
+    """Return a segment that a crash cut short in its first line; other files raise DamagedFileError."""
     expected = TITLE % VERSION
     if len(data) < len(expected) and expected.startswith(data):
         return Segment(file, VERSION, data, torn_at=0)
     number = title.removeprefix(TITLE_PREFIX).removesuffix(b"\n")
     if title.startswith(TITLE_PREFIX) and number.isdigit() and int(number) > VERSION:
-        raise DamagedFileError(file, 0, f"format {int(number)} is newer than this program's {VERSION}")
-    raise DamagedFileError(file, 0, "this is no capture")
+        raise DamagedFileError(file, 0, f"format {int(number)} is newer than {VERSION}, the newest supported")
+    raise DamagedFileError(file, 0, "this is not a capture")
 
 
 def _add_block(segment: Segment, block: Frame) -> None:
-    """Take a block as the next one of the segment. Raises DamagedFileError."""
+    """Append the next block to a segment. Raises DamagedFileError if it must not occur there."""
     if segment.sealed:
-        raise DamagedFileError(segment.file, block.offset, "bytes behind the end block")
+        raise DamagedFileError(segment.file, block.offset, "the file continues after the index")
     if block.kind == BlockKind.META:
         segment.meta = msgspec.msgpack.decode(segment.payload(block))
     elif not segment.meta:
-        raise DamagedFileError(
-            segment.file, block.offset, "the first block is not what a segment begins with"
-        )
+        raise DamagedFileError(segment.file, block.offset, "the first block is not the segment's header")
     segment.blocks.append(block)
     if block.kind == BlockKind.END:
         _check_index(segment, block)
@@ -145,6 +158,6 @@
 
 def _check_index(segment: Segment, end: Frame) -> None:
     index = msgspec.msgpack.decode(segment.payload(end))
-    found = [[b.offset, b.first_entry, b.clock] for b in segment.blocks if b.kind == BlockKind.ENTRIES]
-    if index.get("blocks") != found:
-        raise DamagedFileError(segment.file, end.offset, "the index names other blocks than there are")
+    expected = [[b.offset, b.first_entry, b.clock] for b in segment.blocks if b.kind == BlockKind.ENTRIES]
+    if index.get("blocks") != expected:
+        raise DamagedFileError(segment.file, end.offset, "the index does not match the blocks of entries")
--- a/stepsail/capture/entries.py
+++ b/stepsail/capture/entries.py
@@ -1,8 +1,9 @@
-"""The entries of a capture: the events that the router was told, and the commands that it issued.
+"""The entries of a capture: the events that the router received, and the commands that it issued.
 
-An entry is one call to the router: the event, the clock reading under which it came, its values, the commands that
-the router issued during it, and the error it raised, if it did. Servers are numbered in the order they were added,
-requests by the host's number, timers in the order they were set.
+An entry records one call to the router: the event, the clock reading at that time, the values of the event,
+the commands that the router issued during the call, and the error that it raised, if any. Servers are
+numbered in the order in which they were added, and timers in the order in which they were set; a request has
+the number that the host gave it.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Event(IntEnum):
-    """What the router is told. Numbers are part of the format: never reuse one."""
+    """The kind of an event that the router receives. The numbers are part of the format; never reuse one."""
 
     STARTED = 1
     SERVER_ADDED = 2
@@ -39,7 +40,7 @@
 
 
 class Command(IntEnum):
-    """What the router asks of its host. Numbers are part of the format: never reuse one."""
+    """The kind of a command that the router issues. The numbers are part of the format; never reuse one."""
 
     SEND_ATTEMPT = 1
     CANCEL_ATTEMPT = 2
@@ -66,7 +67,7 @@
     Event.RELEASE_STATE_RECEIVED: ("age", "exposure_limit", "build", "stage", "phase"),
     Event.RELEASE_COUNTS_RECEIVED: ("build", "request_class", "count", "failed", "mean", "age"),
     Event.VOTE_ACKNOWLEDGED: ("receipt",),
-    # The earliest captures hold no age.
+    # The earliest captures have no `age`.
     Event.REQUEST_ACCEPTED: (
         "number",
         "request_class",
@@ -106,7 +107,7 @@
 
 
 class Entry(NamedTuple):
-    """One call to the router. A command is its kind followed by its values; `error` is empty for none."""
+    """One call to the router. A command is its kind followed by its values; `error` is empty if none."""
 
     kind: int
     clock: float
@@ -115,7 +116,7 @@
     error: str = ""
 
 
-RecordedCall = tuple[int, float, Values, list[Values], str]  # an Entry's fields as they are gathered
+RecordedCall = tuple[int, float, Values, list[Values], str]  # the fields of an Entry, in its order
 
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(tuple[int, float, Values, list[Values], str])
@@ -123,7 +124,7 @@
 
 
 def entry_lines(entry: Entry, servers: list[str] | None = None) -> list[str]:
-    """An entry as lines for a person: the event, then the commands. `servers` are addresses by number."""
+    """Format an entry as lines: the event, then the commands. `servers` are addresses by server number."""
     event = Event(entry.kind)
     values = _values_text(EVENT_FIELDS[event], entry.values, servers)
     lines = [f"{entry.clock:.6f} {event.name.lower()} {values}".rstrip()]
--- a/stepsail/capture/explain.py
+++ b/stepsail/capture/explain.py
@@ -1,6 +1,6 @@
-"""Why the router decided so: the evidence that it had, read from its state in a replay.
+"""Explains decisions of the router by the evidence that it had, which is read from its state in a replay.
 
-Reads the router's own objects and calls its own functions; decides nothing.
+The evidence is read from the router's own objects and functions; nothing here computes a decision anew.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def server_rows(host: ReplayHost) -> list[Row]:
-    """A row of column names, then one a server: how it stood for the router."""
+    """Return a row of column names, followed by one row per server with its state as the router knows it."""
     return [
         SERVER_COLUMNS,
         *(_server_row(s, host.clock) for s in host.servers if s.state is not EndpointState.GONE),
@@ -41,7 +41,7 @@
 
 
 def admission_lines(host: ReplayHost) -> list[str]:
-    """How many attempts the router let itself have in flight, and what waited."""
+    """Describe the admission window, the attempts in flight and the waiting requests."""
     admission = host.router.admission
     return [
         f"window {admission.window:.1f} attempts, {len(admission.in_flight)} in flight, "
@@ -50,33 +50,33 @@
 
 
 def canary_lines(host: ReplayHost) -> list[str]:
-    """The judgement of the build on canary: the evidence so far against its thresholds."""
+    """Describe the evidence about the build on canary so far, and the thresholds of its verdict."""
     router = host.router
     canary = router.canary
     if canary is None:
         phase = ReleasePhase(router.release.phase).name.lower()
-        return [f"build {router.release.build} is {phase}; none is judged"]
+        return [f"build {router.release.build} is {phase}; no build is on canary"]
     evidence = canary.evidence()
     observations = router.observations
-    slowness = log_evidence(observations.normal, observations.recent, LATENCY_EDGES)
+    slowdown = log_evidence(observations.normal, observations.recent, LATENCY_EDGES)
     accepted = evidence.gap + evidence.radius
     rejected = evidence.gap - evidence.radius
     return [
-        f"build {canary.build}, stage {canary.stage}, exposure limit {router.release.limit:.3f}, for "
+        f"build {canary.build}, stage {canary.stage}, exposure limit {router.release.limit:.3f}, running for "
         f"{host.clock - canary.started_at:.1f} s; settled: {'yes' if canary.settled() else 'no'}; "
         f"verdict so far: {canary.ballot.verdict.name.lower()}",
         f"outcomes: {evidence.outcome_count:.0f} of the new build, "
-        f"{evidence.baseline_outcome_count:.0f} of earlier ones",
-        f"gap {evidence.gap:.3f} with radius {evidence.radius:.3f}: rolled back above {REJECTED_GAP} without the "
-        f"radius ({rejected:+.3f}), promoted below {ACCEPTED_GAP} with it ({accepted:+.3f}) or from "
-        f"{MIN_OUTCOMES} outcomes",
+        f"{evidence.baseline_outcome_count:.0f} of earlier builds",
+        f"gap {evidence.gap:.3f}, radius {evidence.radius:.3f}: rolled back if gap - radius is above "
+        f"{REJECTED_GAP} ({rejected:+.3f}); promoted if gap + radius is below {ACCEPTED_GAP} "
+        f"({accepted:+.3f}), or from {MIN_OUTCOMES} outcomes",
         f"failures: log evidence {evidence.failure_evidence:.2f}, rolled back above {evidence.threshold:.2f}",
-        f"slowness everywhere: log evidence {slowness:.2f}, paused above {evidence.threshold:.2f}",
+        f"slowdown of all builds: log evidence {slowdown:.2f}, paused above {evidence.threshold:.2f}",
     ]
 
 
 def concerns_request(number: int, entry: Entry) -> bool:
-    """Whether an entry is about a request."""
+    """Whether an entry has an event or a command of the request with this number."""
     if (
         entry.kind in (Event.REQUEST_ACCEPTED, Event.ATTEMPT_ENDED, Event.CLIENT_DISCONNECTED)
         and entry.values[0] == number
@@ -87,34 +87,41 @@
 
 
 def is_vote(entry: Entry) -> bool:
-    """Whether a vote was cast in an entry."""
+    """Whether the router cast a vote in an entry."""
     return any(command[0] == Command.CAST_VOTE for command in entry.commands)
 
 
 class Explainer:
-    """An observer of a replay: keeps what stood behind the decisions that are asked about."""
+    """An observer of a replay that collects the evidence behind selected decisions.
+
+    Attributes:
+        request: Number of the request whose entries are explained; None: no request is.
+        vote: Index, from 0, of the vote that is explained; None: no vote is.
+        votes_seen: Number of votes in the entries so far.
+        explanations: For each explained entry: its number, lines of text, and a table of the servers.
+    """
 
     def __init__(self, request: int | None = None, vote: int | None = None) -> None:
         self.request = request
         self.vote = vote
-        self.votes = 0
-        self.found: list[tuple[int, list[str], list[Row]]] = []
+        self.votes_seen = 0
+        self.explanations: list[tuple[int, list[str], list[Row]]] = []
 
     def __call__(self, number: int, entry: Entry, host: ReplayHost) -> None:
-        """Called before the entry is fed, so that the state is what the decision was made on."""
-        wanted = self.request is not None and concerns_request(self.request, entry)
+        """Collect evidence before an entry is fed: the router still has the state that it decides on."""
+        selected = self.request is not None and concerns_request(self.request, entry)
         if is_vote(entry):
-            wanted |= self.vote == self.votes
-            self.votes += 1
-        if not wanted or host.router is None:
+            selected |= self.vote == self.votes_seen
+            self.votes_seen += 1
+        if not selected or host.router is None:
             return
         host.clock = entry.clock
-        names = [s.address.decode("latin-1") for s in host.servers]
-        lines = entry_lines(entry, names)
+        addresses = [s.address.decode("latin-1") for s in host.servers]
+        lines = entry_lines(entry, addresses)
         if self.vote is not None:
             lines += canary_lines(host)
         kinds = {command[0] for command in entry.commands}
         if kinds & {Command.SEND_ATTEMPT, Command.REJECT, Command.FAIL}:
             lines += admission_lines(host)
         rows = server_rows(host) if Command.SEND_ATTEMPT in kinds else []
-        self.found.append((number, lines, rows))
+        self.explanations.append((number, lines, rows))
--- a/stepsail/capture/other_builds.py
+++ b/stepsail/capture/other_builds.py
@@ -1,6 +1,6 @@
-"""Loads another build of the decisions, to replay captures with: the folder of its package, or one file.
+"""Loads another build of the `decisions` package, from a folder or a single file, to replay captures with.
 
-The other build shares this one's `stepsail.decisions.interface`, as host and router must agree on its types.
+The other build uses the running program's `stepsail.decisions.interface`, as host and router share its types.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from stepsail import decisions
 
 PACKAGE = decisions.__name__
-SHARED = f"{PACKAGE}.interface"
+SHARED_MODULE = f"{PACKAGE}.interface"
 
 
 class InvalidBuild(Exception):
-    """What was given is no build of the decisions that this one's replay can run."""
+    """A path does not contain a build of the decisions that can be replayed."""
 
     def __init__(self, path: Path, found: str) -> None:
         super().__init__(f"{path}: expected a decision package or file with the class Router, found {found}")
@@ -28,21 +28,21 @@
 
 
 def load_build(path: Path) -> ModuleType:
-    """A module with the build's `Router` and all classes that a snapshot may name. Raises InvalidBuild.
+    """Return a module with the build's `Router` and all classes named in snapshots. Raises InvalidBuild.
 
-    A file may hold the router alone: classes that it doesn't have are this build's.
+    A single file may define the router alone; classes that it lacks are taken from the running program.
     """
     if path.is_dir():
-        initial = path / "__init__.py"
-        if not initial.is_file():
+        init_file = path / "__init__.py"
+        if not init_file.is_file():
             raise InvalidBuild(path, "a folder without __init__.py")
         with _package_replaced():
-            module = _load(PACKAGE, initial, path)
+            module = _load(PACKAGE, init_file, path)
     else:
         module = _load(f"stepsail_other_{path.stem}", path, None)
     if not hasattr(module, "Router"):
         has_former_interface = hasattr(module, "Umpire")
-        found = "Umpire: it is written against a former interface" if has_former_interface else "none"
+        found = "Umpire: it is written for a former interface" if has_former_interface else "none"
         raise InvalidBuild(path, found)
     for name in decisions.__all__:
         if not hasattr(module, name):
@@ -67,19 +67,19 @@
 
 @contextmanager
 def _package_replaced() -> Iterator[None]:
-    """While this lasts, the other build's modules are imported under the package's name."""
+    """Remove the package's modules from `sys.modules`, to import another build, and restore them on exit."""
 
-    def loaded() -> list[str]:
-        """Names of the package's modules that are imported."""
+    def imported_modules() -> list[str]:
+        """Return the names of the package's modules that are imported."""
         return [name for name in sys.modules if name == PACKAGE or name.startswith(f"{PACKAGE}.")]
 
-    own = {name: sys.modules[name] for name in loaded()}
-    for name in own:
-        if name != SHARED:
+    own_modules = {name: sys.modules[name] for name in imported_modules()}
+    for name in own_modules:
+        if name != SHARED_MODULE:
             del sys.modules[name]
     try:
         yield
     finally:
-        for name in loaded():
+        for name in imported_modules():
             del sys.modules[name]
-        sys.modules.update(own)
+        sys.modules.update(own_modules)
--- a/stepsail/capture/recorded_handles.py
+++ b/stepsail/capture/recorded_handles.py
@@ -1,4 +1,4 @@
-"""The handles that a recording router gives to its host: each call is recorded and passed on."""
+"""The handles that a recording router gives to its host. They record each call and pass it on."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from stepsail.capture.entries import Event, Values
 from stepsail.decisions.interface import AttemptOutcome, RejectionReason, RequestHandle, ServerHandle
 
-# Plain integers, as an enum member takes longer to look up and to encode, and these are needed at every call.
+# Plain integers, as enum members take longer to look up and to encode, and every recorded call needs one.
 ENDPOINT_UPDATED = int(Event.ENDPOINT_UPDATED)
 HEALTH_CHECK_FINISHED = int(Event.HEALTH_CHECK_FINISHED)
 ANSWER_DISPUTED = int(Event.ANSWER_DISPUTED)
@@ -17,19 +17,19 @@
 
 
 class EventRecorder(Protocol):
-    """What the handles need of the recorder."""
+    """The methods of the recorder that the handles use."""
 
     def record(self, event: int, values: Values, call: Callable[..., Any], *arguments: Any) -> Any:
-        """Make one call to the router and record it."""
+        """Call the router, and record the call. Returns what the router returned."""
         ...
 
     def forget_if_finished(self, request: RecordedRequest) -> None:
-        """Drop the handle of a request that is over."""
+        """Drop the handle of a request if it is finished."""
         ...
 
 
 class RecordedServer:
-    """A server's handle as the host holds it."""
+    """The handle of a server that the host uses."""
 
     __slots__ = ("address", "number", "real", "recorder")
 
@@ -64,7 +64,7 @@
 
 
 class RecordedRequest:
-    """A request's handle as the host holds it."""
+    """The handle of a request that the host uses."""
 
     __slots__ = ("number", "real", "recorder")
 
@@ -92,7 +92,7 @@
         self.recorder.forget_if_finished(self)
 
     def attempt_still_allowed(self, attempt: int) -> bool:
-        """See `RequestHandle.attempt_still_allowed`. Not recorded, as it changes nothing."""
+        """See `RequestHandle.attempt_still_allowed`. Not recorded, as it changes no state of the router."""
         return self.real.attempt_still_allowed(attempt)
 
     def client_disconnected(self) -> None:
--- a/stepsail/capture/recorder.py
+++ b/stepsail/capture/recorder.py
@@ -1,7 +1,8 @@
-"""Records every call between a host and the router, either way, without changing any.
+"""Records every call between a host and its router, in both directions, without changing any.
 
-`recording(make, sink)` gives a maker of routers that looks like `make` to any host. The router gets a host of its own
-whose clock stands still during a call, so that it sees exactly the reading that is recorded.
+`with_recording(make_router, sink)` returns a factory of routers that a host uses like `make_router`. The
+recorder is in turn the host of the real router. Its clock does not advance during a call, so that the router
+reads exactly the time that is recorded.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from stepsail.capture.recorded_handles import RecordedRequest, RecordedServer
 from stepsail.capture.sink import Sink
 from stepsail.capture.snapshot_names import names_by_id
-from stepsail.capture.state import freeze
+from stepsail.capture.state import serialize
 from stepsail.decisions.interface import (
     MakeRouter,
     ReleasePhase,
@@ -26,7 +27,7 @@
     VoteReceipt,
 )
 
-# Plain integers, as an enum member takes longer to look up and to encode, and these are needed at every call.
+# Plain integers, as enum members take longer to look up and to encode, and every recorded call needs one.
 STARTED = int(Event.STARTED)
 SERVER_ADDED = int(Event.SERVER_ADDED)
 ENDPOINT_LIST_RECEIVED = int(Event.ENDPOINT_LIST_RECEIVED)
@@ -58,10 +59,10 @@
 
 
 class Recorder:
-    """Both sides between host and router: the router that the host sees, and the host that the router sees."""
+    """The router that the real host calls, and at the same time the host that the real router calls."""
 
     def __init__(
-        self, make: MakeRouter, sink: Sink, settings: RouterSettings, host: RouterHost, seed: int
+        self, make_router: MakeRouter, sink: Sink, settings: RouterSettings, host: RouterHost, seed: int
     ) -> None:
         self.sink = sink
         self.host = host
@@ -75,28 +76,28 @@
         self.timer_count = 0
         sink.begin(settings, seed)
         self.real: RouterHandle
-        self.record(STARTED, (seed,), self._make, make, seed)
+        self.record(STARTED, (seed,), self._make_router, make_router, seed)
 
-    def _make(self, make: MakeRouter, seed: int) -> None:
-        self.real = make(self.settings, self, seed)
+    def _make_router(self, make_router: MakeRouter, seed: int) -> None:
+        self.real = make_router(self.settings, self, seed)
 
     def record(self, event: int, values: Values, call: Callable[..., Any], *arguments: Any) -> Any:
-        """Make one call to the router and record it with the commands that it led to."""
+        """Call the router, and record the call with the commands that the router issued in it."""
         sink = self.sink
-        if sink.wants_state and event != STARTED:
-            sink.state(self.snapshot)
+        if sink.wants_snapshot and event != STARTED:
+            sink.add_snapshot(self.snapshot)
         self.clock = clock = self.host.clock
         self.commands = commands = list[Values]()
         try:
             result = call(*arguments)
         except Exception as error:
-            sink.entry((event, clock, values, commands, f"{type(error).__name__}: {error}"))
+            sink.add_entry((event, clock, values, commands, f"{type(error).__name__}: {error}"))
             raise
-        sink.entry((event, clock, values, commands, ""))
+        sink.add_entry((event, clock, values, commands, ""))
         return result
 
     def snapshot(self) -> bytes:
-        """The state of the router and of what the host holds of it."""
+        """Return a snapshot of the router, and of the handles and timers that it has given to the host."""
         root = [
             self.real,
             [server.real for server in self.servers],
@@ -105,14 +106,14 @@
             self.timer_count,
             self.clock,
         ]
-        return freeze(root, names_by_id(self.settings, self))
+        return serialize(root, names_by_id(self.settings, self))
 
     def forget_if_finished(self, request: RecordedRequest) -> None:
-        """Drop the handle of a request that is over."""
+        """Drop the handle of a request if it is finished."""
         if request.real.finished():
             self.requests.pop(request.number, None)
 
-    # -- the router's side: events -----------------------------------------------------------------------
+    # -- calls from the host: events ---------------------------------------------------------------------
 
     def add_server(self, address: bytes) -> RecordedServer:
         """See `RouterHandle.add_server`."""
@@ -144,7 +145,9 @@
     ) -> RecordedRequest:
         """See `RouterHandle.accept_request`."""
         values = (number, request_class, tenant, effort, deadline, key, is_retry, age)
-        request = self._recorded(self.record(REQUEST_ACCEPTED, values, self.real.accept_request, *values))
+        request = self._recorded_request(
+            self.record(REQUEST_ACCEPTED, values, self.real.accept_request, *values)
+        )
         self.forget_if_finished(request)
         return request
 
@@ -189,10 +192,13 @@
         """See `RouterHandle.membership_changed`."""
         self.record(MEMBERSHIP_CHANGED, (tuple(members),), self.real.membership_changed, members)
 
-    # -- the host's side: commands -----------------------------------------------------------------------
+    # -- calls from the router: commands -----------------------------------------------------------------
 
-    def _recorded(self, real: RequestHandle) -> RecordedRequest:
-        """The host's handle of a request; the router may name it before `accept_request` has returned it."""
+    def _recorded_request(self, real: RequestHandle) -> RecordedRequest:
+        """Return the host's handle of a request, which is created here if needed.
+
+        The router may issue a command for the request before `accept_request` has returned it.
+        """
         request = self.requests.get(real.number)
         if request is None:
             request = RecordedRequest(self, real)
@@ -203,22 +209,22 @@
         """See `RouterHost.send_attempt`."""
         recorded = self.recorded_servers[server]
         self.commands.append((SEND_ATTEMPT, request.number, recorded.number, deadline))
-        self.host.send_attempt(self._recorded(request), recorded, deadline)
+        self.host.send_attempt(self._recorded_request(request), recorded, deadline)
 
     def cancel_attempt(self, request: RequestHandle, attempt: int) -> None:
         """See `RouterHost.cancel_attempt`."""
         self.commands.append((CANCEL_ATTEMPT, request.number, attempt))
-        self.host.cancel_attempt(self._recorded(request), attempt)
+        self.host.cancel_attempt(self._recorded_request(request), attempt)
 
     def reject(self, request: RequestHandle, retry_after: float) -> None:
         """See `RouterHost.reject`."""
         self.commands.append((REJECT, request.number, retry_after))
-        self.host.reject(self._recorded(request), retry_after)
+        self.host.reject(self._recorded_request(request), retry_after)
 
     def fail(self, request: RequestHandle) -> None:
         """See `RouterHost.fail`."""
         self.commands.append((FAIL, request.number))
-        self.host.fail(self._recorded(request))
+        self.host.fail(self._recorded_request(request))
 
     def call_later(self, delay: float, call: Callable[[], None]) -> None:
         """See `RouterHost.call_later`."""
@@ -232,7 +238,7 @@
         self.record(TIMER_FIRED, (number,), self._run_timer, number)
 
     def _run_timer(self, number: int) -> None:
-        """Runs within the recorded call, so that a snapshot taken before it still holds the timer."""
+        """Run a timer. It is removed within the recorded call, as a snapshot before the call must have it."""
         self.timers.pop(number)()
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
@@ -287,10 +293,10 @@
         self.host.log_decision(text)
 
 
-def recording(make: MakeRouter, sink: Sink) -> MakeRouter:
-    """A maker of routers whose every call goes to the sink too."""
+def with_recording(make_router: MakeRouter, sink: Sink) -> MakeRouter:
+    """Return a factory of routers that works like `make_router` and records all their calls to the sink."""
 
-    def make_recorded(settings: RouterSettings, host: RouterHost, seed: int) -> RouterHandle:
-        return Recorder(make, sink, settings, host, seed)
+    def make_recording_router(settings: RouterSettings, host: RouterHost, seed: int) -> RouterHandle:
+        return Recorder(make_router, sink, settings, host, seed)
 
-    return make_recorded
+    return make_recording_router
--- a/stepsail/capture/replay.py
+++ b/stepsail/capture/replay.py
@@ -1,4 +1,7 @@
-"""Feeds a router the events that another one was told, and compares the commands. No I/O, no clock of its own."""
+"""Feeds captured events to a router, and compares its commands with the captured ones.
+
+Does no I/O; the clock is that of the capture.
+"""
 
 from __future__ import annotations
 
@@ -13,18 +16,18 @@
 from stepsail.capture.stored_names import read_settings
 from stepsail.decisions.interface import RouterSettings
 
-ENTRIES_BEFORE_DIFFERENCE = 12  # shown with it
+ENTRIES_BEFORE_DIFFERENCE = 12  # shown together with a difference, as its context
 
-Observer = Callable[[int, Entry, ReplayHost], None]  # called before an entry is fed
+Observer = Callable[[int, Entry, ReplayHost], None]  # called before each entry is fed, with its number
 
 
 class ReplayError(Exception):
-    """A capture cannot be replayed: it lacks a start or a snapshot, or entries in between."""
+    """A capture cannot be replayed, as its beginning or entries in between are missing."""
 
 
 @dataclass
 class Difference:
-    """An entry as captured and as replayed, and the entries before it."""
+    """An entry as captured and as replayed, with the entries before it."""
 
     number: int
     captured: Entry
@@ -32,7 +35,7 @@
     before: list[tuple[int, Entry]]
 
     def lines(self, servers: list[str]) -> list[str]:
-        """Both side by side, for a person."""
+        """Format as lines: earlier entries, then the difference. `servers` are addresses by server number."""
         before = [
             f"  {number}: {line}" for number, entry in self.before for line in entry_lines(entry, servers)
         ]
@@ -43,61 +46,67 @@
             f"entry {self.number} as captured:",
             *captured,
             "as replayed:",
-            *(replayed or ["  (nothing asked for)"]),
+            *(replayed or ["  (no commands)"]),
         ]
 
 
 @dataclass
 class ReplayResult:
-    """How far a replay came, and where it differed."""
+    """How many entries a replay has fed, and where its commands differed from the captured ones."""
 
     host: ReplayHost
     entries: int = 0
     differing: int = 0
     first_difference: Difference | None = None
-    event_counts: dict[str, int] = field(default_factory=dict)  # by the event's name
+    event_counts: dict[str, int] = field(default_factory=dict)  # number of events by name
 
-    def count(self, entry: Entry) -> None:
+    def count_entry(self, entry: Entry) -> None:
         """Count an entry that was fed."""
         name = Event(entry.kind).name.lower()
         self.entries += 1
         self.event_counts[name] = self.event_counts.get(name, 0) + 1
 
     def add_difference(self, difference: Difference) -> None:
-        """Count a difference; the first one is kept."""
+        """Count a difference, and keep it if it is the first."""
         self.differing += 1
         if self.first_difference is None:
             self.first_difference = difference
 
 
 def captured_settings(meta: dict[str, Any]) -> RouterSettings:
-    """The router's settings out of a segment's header."""
+    """Return the router's settings from a segment's header."""
     return read_settings(meta["charter"])
 
 
 def replay(
     meta: dict[str, Any],
-    state: bytes | None,
+    snapshot: bytes | None,
     entries: Iterable[tuple[int, Entry]],
     module: ModuleType,
     until: float | None = None,
     continue_after_difference: bool = False,
     observer: Observer | None = None,
 ) -> ReplayResult:
-    """Feed the entries to a build of the decision module and compare, to the first difference unless told otherwise.
+    """Feed entries to a router and compare its commands with the captured ones.
 
-    `meta` and `state` are the first segment's header and its snapshot, if it has one. `until` is the reading of the
-    instance's clock after which to stop. `observer` is called before each entry is fed.
+    Args:
+        meta: Header of the first segment.
+        snapshot: Snapshot at the start of the first segment, if it has one.
+        entries: The entries with their numbers.
+        module: The build of the decision module whose router is replayed.
+        until: Reading of the instance's clock after which to stop.
+        continue_after_difference: Whether to continue after the first difference.
+        observer: Called before each entry is fed.
 
     Raises:
         ReplayError: Entries are missing, at the start or in between.
-        NoState: The snapshot does not fit the module.
+        SnapshotError: The snapshot does not fit the module.
     """
     host = ReplayHost(module, captured_settings(meta))
     result = ReplayResult(host)
     before: deque[tuple[int, Entry]] = deque(maxlen=ENTRIES_BEFORE_DIFFERENCE)
-    if state is not None:
-        host.restore(state)
+    if snapshot is not None:
+        host.restore(snapshot)
     expected: int | None = None
     for number, entry in entries:
         _check_follows(host, number, entry, expected)
@@ -107,7 +116,7 @@
         if observer:
             observer(number, entry, host)
         response = host.feed(entry)
-        result.count(entry)
+        result.count_entry(entry)
         if not _matches(response, entry):
             replayed = entry._replace(commands=response.commands, error=response.error)
             result.add_difference(Difference(number, entry, replayed, list(before)))
@@ -118,14 +127,16 @@
 
 
 def _check_follows(host: ReplayHost, number: int, entry: Entry, expected: int | None) -> None:
-    """Raises ReplayError where an entry cannot be fed after those before it."""
+    """Raise ReplayError if an entry cannot be fed next, as entries before it are missing."""
     if host.router is None and entry.kind != Event.STARTED:
-        raise ReplayError(f"entry {number}: neither a start nor a snapshot stands before it")
+        raise ReplayError(f"entry {number}: neither a start nor a snapshot precedes it")
     if expected is not None and number != expected:
-        raise ReplayError(f"entries {expected} to {number - 1} are missing; a replay does not cross that")
+        raise ReplayError(
+            f"entries {expected} to {number - 1} are missing, so that the replay cannot continue"
+        )
 
 
 def _matches(response: Response, entry: Entry) -> bool:
-    """Compared as they are stored, so that not a bit of a time may differ."""
+    """Whether a response is the captured one. Compares encoded bytes, as times must match to the last bit."""
     replayed = ENCODER.encode((response.commands, response.error))
     return replayed == ENCODER.encode((entry.commands, entry.error))
--- a/stepsail/capture/replay_host.py
+++ b/stepsail/capture/replay_host.py
@@ -1,4 +1,4 @@
-"""The router's host in a replay: feeds it recorded events and collects its commands. Carries nothing out."""
+"""The router's host in a replay: feeds captured events to it and collects its commands; executes none."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from stepsail.capture.entries import Command, Entry, Event, Values
 from stepsail.capture.snapshot_names import names_by_id, objects_by_name
-from stepsail.capture.state import freeze, thaw
+from stepsail.capture.state import deserialize, serialize
 from stepsail.decisions.interface import AttemptOutcome, ReleasePhase, RouterSettings, Verdict, VoteReceipt
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """What the router made of one event: its commands, and the error it raised (empty for none)."""
+    """The response of the router to one event: its commands, and the error that it raised (empty if none)."""
 
     commands: list[Values]
     error: str
 
 
 class ReplayHost:
-    """Holds one router, made by a build of the decision module, and what a host holds of it."""
+    """Runs a router of a build of the decision module, and keeps its handles and timers."""
 
     def __init__(self, module: ModuleType, settings: RouterSettings) -> None:
         self.module = module
@@ -31,7 +31,7 @@
         self.commands: list[Values] = []
         self.router: Any = None
         self.servers: list[Any] = []
-        self.server_numbers: dict[int, int] = {}  # by id() of the handle
+        self.server_numbers: dict[int, int] = {}  # by the id() of the server's handle
         self.requests: dict[int, Any] = {}
         self.timers: dict[int, Callable[[], None]] = {}
         self.timer_count = 0
@@ -39,13 +39,13 @@
     # -- snapshots ---------------------------------------------------------------------------------------
 
     def restore(self, snapshot: bytes) -> None:
-        """Continue from a snapshot. Raises NoState."""
-        root = thaw(snapshot, self.module, objects_by_name(self.settings, self))
+        """Restore the router, its handles and its timers from a snapshot. Raises SnapshotError."""
+        root = deserialize(snapshot, self.module, objects_by_name(self.settings, self))
         self.router, self.servers, self.requests, self.timers, self.timer_count, self.clock = root
         self.server_numbers = {id(server): number for number, server in enumerate(self.servers)}
 
     def snapshot(self) -> bytes:
-        """The state of the router and of what this host holds of it. Raises NoState."""
+        """Return a snapshot of the router, and of its handles and timers. Raises SnapshotError."""
         root = [
             self.router,
             list(self.servers),
@@ -54,33 +54,33 @@
             self.timer_count,
             self.clock,
         ]
-        return freeze(root, names_by_id(self.settings, self))
+        return serialize(root, names_by_id(self.settings, self))
 
     # -- events ------------------------------------------------------------------------------------------
 
     def feed(self, entry: Entry) -> Response:
-        """Tell the router one event; its response."""
+        """Feed one event to the router, and return its response."""
         self.clock = entry.clock
         self.commands = []
         error = ""
         try:
-            DISPATCH[Event(entry.kind)](self, entry.values)
+            EVENT_HANDLERS[Event(entry.kind)](self, entry.values)
         except Exception as raised:
             error = f"{type(raised).__name__}: {raised}"
         return Response(self.commands, error)
 
     def start(self, seed: int) -> None:
-        """Make the router."""
+        """Create the router."""
         self.router = self.module.Router(self.settings, self, seed)
 
     def add_server(self, address: bytes) -> None:
-        """Add a server to the router, under the next number."""
+        """Add a server to the router, and give it the next number."""
         server = self.router.add_server(address)
         self.server_numbers[id(server)] = len(self.servers)
         self.servers.append(server)
 
     def forget_if_finished(self, number: int) -> None:
-        """Drop the handle of a request that is over."""
+        """Drop the handle of a request if it is finished."""
         if self.requests[number].finished():
             del self.requests[number]
 
@@ -89,68 +89,68 @@
     def send_attempt(self, request: Any, server: Any, deadline: float) -> None:
         """See `RouterHost.send_attempt`."""
         self.requests.setdefault(request.number, request)
-        self._add(Command.SEND_ATTEMPT, request.number, self.server_numbers[id(server)], deadline)
+        self._add_command(Command.SEND_ATTEMPT, request.number, self.server_numbers[id(server)], deadline)
 
     def cancel_attempt(self, request: Any, attempt: int) -> None:
         """See `RouterHost.cancel_attempt`."""
-        self._add(Command.CANCEL_ATTEMPT, request.number, attempt)
+        self._add_command(Command.CANCEL_ATTEMPT, request.number, attempt)
 
     def reject(self, request: Any, retry_after: float) -> None:
         """See `RouterHost.reject`."""
-        self._add(Command.REJECT, request.number, retry_after)
+        self._add_command(Command.REJECT, request.number, retry_after)
 
     def fail(self, request: Any) -> None:
         """See `RouterHost.fail`."""
-        self._add(Command.FAIL, request.number)
+        self._add_command(Command.FAIL, request.number)
 
     def call_later(self, delay: float, call: Callable[[], None]) -> None:
         """See `RouterHost.call_later`."""
         self.timer_count += 1
         self.timers[self.timer_count] = call
-        self._add(Command.CALL_LATER, delay, self.timer_count)
+        self._add_command(Command.CALL_LATER, delay, self.timer_count)
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
         """See `RouterHost.cast_vote`."""
-        self._add(Command.CAST_VOTE, build, stage, int(verdict))
+        self._add_command(Command.CAST_VOTE, build, stage, int(verdict))
 
     def check_health(self, server: Any) -> None:
         """See `RouterHost.check_health`."""
-        self._add(Command.CHECK_HEALTH, self.server_numbers[id(server)])
+        self._add_command(Command.CHECK_HEALTH, self.server_numbers[id(server)])
 
     def close_idle_connections(self, server: Any) -> None:
         """See `RouterHost.close_idle_connections`."""
-        self._add(Command.CLOSE_IDLE_CONNECTIONS, self.server_numbers[id(server)])
+        self._add_command(Command.CLOSE_IDLE_CONNECTIONS, self.server_numbers[id(server)])
 
     def poll_endpoints(self) -> None:
         """See `RouterHost.poll_endpoints`."""
-        self._add(Command.POLL_ENDPOINTS)
+        self._add_command(Command.POLL_ENDPOINTS)
 
     def watch_endpoints(self) -> None:
         """See `RouterHost.watch_endpoints`."""
-        self._add(Command.WATCH_ENDPOINTS)
+        self._add_command(Command.WATCH_ENDPOINTS)
 
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[Any, int, int, int]]) -> None:
         """See `RouterHost.gossip_outcomes`."""
         numbered = [(self.server_numbers[id(server)], *rest) for server, *rest in outcomes]
-        self._add(Command.GOSSIP_OUTCOMES, peer, numbered)
+        self._add_command(Command.GOSSIP_OUTCOMES, peer, numbered)
 
     def gossip_verdict(self, build: int, stage: int, verdict: Verdict) -> None:
         """See `RouterHost.gossip_verdict`."""
-        self._add(Command.GOSSIP_VERDICT, build, stage, int(verdict))
+        self._add_command(Command.GOSSIP_VERDICT, build, stage, int(verdict))
 
     def gossip_stalled_classes(self, request_classes: Sequence[int]) -> None:
         """See `RouterHost.gossip_stalled_classes`."""
-        self._add(Command.GOSSIP_STALLED_CLASSES, tuple(request_classes))
+        self._add_command(Command.GOSSIP_STALLED_CLASSES, tuple(request_classes))
 
     def log_decision(self, text: str) -> None:
         """See `RouterHost.log_decision`."""
-        self._add(Command.LOG_DECISION, text)
+        self._add_command(Command.LOG_DECISION, text)
 
-    def _add(self, command: Command, *values: Any) -> None:
+    def _add_command(self, command: Command, *values: Any) -> None:
         self.commands.append((int(command), *values))
 
 
-# -- one function for each event, with the values of its entry -----------------------------------------------
+# -- one function per event, which passes the values of the entry to the router ------------------------------
 
 
 def _started(host: ReplayHost, values: Values) -> None:
@@ -242,7 +242,7 @@
     host.router.membership_changed(tuple(members))
 
 
-DISPATCH: dict[Event, Callable[[ReplayHost, Values], None]] = {
+EVENT_HANDLERS: dict[Event, Callable[[ReplayHost, Values], None]] = {
     Event.STARTED: _started,
     Event.SERVER_ADDED: _server_added,
     Event.ENDPOINT_UPDATED: _endpoint_updated,
--- a/stepsail/capture/segment_writer.py
+++ b/stepsail/capture/segment_writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes a capture's segments: compression, checksums, and the ring of files."""
+"""Writes the segments of a capture in a thread: compresses their blocks, and removes the oldest files."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 SUFFIX = ".cap"
 FILE_MODE = 0o600
 MAX_QUEUED_BLOCKS = 32
-RETRY_INTERVAL = 2.0  # s after a failed write until the next segment is attempted
+RETRY_INTERVAL = 2.0  # s from a failed write until a new segment may begin
 
 
 @dataclass(frozen=True, slots=True)
 class OpenSegment:
-    """Close the open segment and begin another one."""
+    """Close the open segment and begin another."""
 
     number: int
     meta: bytes
-    state: bytes | None
+    snapshot: bytes | None
     first_entry: int
     clock: float
 
 
 @dataclass(frozen=True, slots=True)
 class EntryBlock:
-    """Write a block of entries; `next_entry` is the number of the entry behind it."""
+    """Write a block of entries; `next_entry` is the number of the first entry after it."""
 
     payload: bytes
     first_entry: int
@@ -46,12 +46,12 @@
     """Close the open segment and end the thread."""
 
 
-Work = OpenSegment | EntryBlock | CloseCapture
+WorkItem = OpenSegment | EntryBlock | CloseCapture
 
 
 @dataclass(frozen=True, slots=True)
-class RingLimits:
-    """How much of a capture is kept on disk."""
+class RetentionLimits:
+    """The maximum size of a segment, and the maximum total size and age of an instance's segments on disk."""
 
     segment_bytes: int
     max_bytes: int
@@ -60,26 +60,33 @@
 
 @dataclass
 class WriteProgress:
-    """What the thread has done; it alone writes this, the gathering side reads it."""
+    """Progress of the writing thread. Only this thread changes it; the thread of the router reads it.
+
+    Attributes:
+        bytes_written: Bytes written to files.
+        next_entry: Number of the first entry after the last one written.
+        failed_segment: Number of the last segment whose writing failed; -1: none.
+        failed_at: Time of the last failure, by the monotonic clock.
+    """
 
     bytes_written: int = 0
-    next_entry: int = 0  # the number behind the last entry written
+    next_entry: int = 0
     failed_segment: int = -1
-    failed_at: float = field(default_factory=lambda: -RETRY_INTERVAL)  # by the monotonic clock
+    failed_at: float = field(default_factory=lambda: -RETRY_INTERVAL)
 
 
 class SegmentWriter:
-    """Takes work from a queue and writes the segments of one run."""
+    """Takes work items from a queue and writes the segments of one run."""
 
     def __init__(
-        self, folder: Path, instance: int, run: str, limits: RingLimits, report: Callable[..., object]
+        self, folder: Path, instance: int, run: str, limits: RetentionLimits, report: Callable[..., object]
     ) -> None:
         self.folder = folder
         self.instance = instance
         self.run_name = run
         self.limits = limits
         self.report = report
-        self.queue: queue.Queue[Work] = queue.Queue(MAX_QUEUED_BLOCKS)
+        self.queue: queue.Queue[WorkItem] = queue.Queue(MAX_QUEUED_BLOCKS)
         self.progress = WriteProgress()
         self._fd: int | None = None
         self._offset = 0
@@ -87,20 +94,21 @@
         self._segment = -1
 
     def run(self) -> None:
-        """Do the work that is queued until the capture is closed."""
+        """Process work items from the queue until the capture is closed."""
         while True:
             work = self.queue.get()
             try:
-                self._do(work)
+                self._process(work)
             except OSError as error:
                 self._fail(error)
             if isinstance(work, CloseCapture):
                 return
 
-    def _do(self, work: Work) -> None:
+    def _process(self, work: WorkItem) -> None:
         match work:
             case OpenSegment():
-                self._segment = work.number  # first: if closing the last one fails, this one is broken too
+                # Set first: if closing the previous segment fails, the new one counts as failed, too.
+                self._segment = work.number
                 self._seal()
                 self._open(work)
             case EntryBlock():
@@ -128,20 +136,20 @@
         self._index = []
         self._write(TITLE % VERSION)
         self._write(encode_block(BlockKind.META, work.meta, work.first_entry, work.clock))
-        if work.state is not None:
-            self._write(encode_block(BlockKind.STATE, work.state, work.first_entry, work.clock))
+        if work.snapshot is not None:
+            self._write(encode_block(BlockKind.SNAPSHOT, work.snapshot, work.first_entry, work.clock))
         self._remove_old_segments()
 
     def _write(self, data: bytes) -> None:
         assert self._fd is not None
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(self._fd, rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(self._fd, remaining) :]
         self._offset += len(data)
         self.progress.bytes_written += len(data)
 
     def _seal(self) -> None:
-        """Write the index and close the open segment, if there is one."""
+        """Write the index of the open segment, if there is one, and close its file."""
         if self._fd is None:
             return
         index = msgspec.msgpack.encode({"blocks": self._index})
@@ -151,7 +159,7 @@
         os.close(fd)
 
     def _remove_old_segments(self) -> None:
-        """Remove this instance's oldest segments beyond the ring's size and age; never the one being written."""
+        """Remove this instance's oldest segments beyond the size and age limits, but never the open one."""
         limits = self.limits
         files = sorted(self.folder.glob(f"*-umpire{self.instance}-*{SUFFIX}"))[:-1]
         stats = {file: file.stat() for file in files}
--- a/stepsail/capture/sink.py
+++ b/stepsail/capture/sink.py
@@ -1,4 +1,4 @@
-"""Where a recorder puts its entries."""
+"""The interface through which a recorder hands over entries and snapshots."""
 
 from __future__ import annotations
 
@@ -10,18 +10,22 @@
 
 
 class Sink(Protocol):
-    """Where entries go. It must not block: the router is deciding."""
+    """Receives the entries and snapshots of a router. Its methods must not block, as the router waits.
 
-    wants_state: bool  # whether a new segment begins, so that a snapshot is wanted before the next entry
+    Attributes:
+        wants_snapshot: Whether the recorder must call `add_snapshot` before the next event.
+    """
+
+    wants_snapshot: bool
 
     def begin(self, settings: RouterSettings, seed: int) -> None:
-        """Called once, before the first entry."""
+        """Begin a run. Called once, before the first entry."""
         ...
 
-    def entry(self, call: RecordedCall) -> None:
-        """Take one entry."""
+    def add_entry(self, call: RecordedCall) -> None:
+        """Add one entry."""
         ...
 
-    def state(self, snapshot: Callable[[], bytes]) -> None:
-        """Take a snapshot, where one is wanted; `snapshot` makes it."""
+    def add_snapshot(self, make_snapshot: Callable[[], bytes]) -> None:
+        """Begin a segment with a snapshot, which `make_snapshot` returns."""
         ...
--- a/stepsail/capture/snapshot_names.py
+++ b/stepsail/capture/snapshot_names.py
@@ -1,6 +1,6 @@
-"""The objects that a snapshot of the router refers to by name, as they are given again when it is read.
+"""The objects that a snapshot of the router doesn't contain but refers to by name.
 
-The names are part of the format.
+The reader of a snapshot supplies these objects. Their names are part of the format.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def objects_by_name(settings: RouterSettings, host: object) -> dict[str, Any]:
-    """What a snapshot's names stand for, when one is read."""
+    """Return the external objects by name, to read a snapshot."""
     return {
         "charter": settings,
         "host": host,
@@ -21,5 +21,5 @@
 
 
 def names_by_id(settings: RouterSettings, host: object) -> dict[int, str]:
-    """The names by id() of the object, when a snapshot is written."""
-    return {id(named): name for name, named in objects_by_name(settings, host).items()}
+    """Return the names of the external objects by their id(), to write a snapshot."""
+    return {id(external): name for name, external in objects_by_name(settings, host).items()}
--- a/stepsail/capture/snapshot_upgrade.py
+++ b/stepsail/capture/snapshot_upgrade.py
@@ -1,7 +1,7 @@
-"""Upgrades the object graph of a snapshot that was written by an earlier build's names and layout.
+"""Upgrades the object graph of a snapshot that has the names and layout of an earlier build.
 
-Works on the graph as it is stored (see `stepsail/capture/state.py`), before any object is made of it, by the table in
-`stepsail/capture/stored_names.py`.
+Works on the stored nodes of the graph (see `stepsail/capture/state.py`), before objects are created from
+them. The tables in `stepsail/capture/stored_names.py` list the changes.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
     TUPLES_TO_OBJECTS,
 )
 
-REFERENCE = 1  # msgpack extension code: the number of a node
+REFERENCE = 1  # msgpack extension type of a reference, whose data is the number of a node
 Node = list[Any]
 
 _MISSING = object()
 
 
 class SnapshotUpgrade:
-    """One graph on its way to the present layout."""
+    """Upgrades one graph to the current layout."""
 
     def __init__(self, nodes: list[Node]) -> None:
         self.nodes = nodes
@@ -40,16 +40,16 @@
         }
 
     def run(self) -> list[Node]:
-        """The graph in the present layout; it shares nodes with the one that was given."""
+        """Return the graph in the current layout. It shares nodes with the given graph, which is changed."""
         self._rename_classes()
         for number in list(self.attributes):
             self._tuples_to_objects(number)
         for number in list(self.attributes):
-            self._make_parts(number)
+            self._move_attributes(number)
         for number in list(self.attributes):
-            self._derive(number)
+            self._derive_attributes(number)
         for number in list(self.attributes):
-            self._finish(number)
+            self._update_attributes(number)
         return self.nodes
 
     def _rename_classes(self) -> None:
@@ -62,7 +62,7 @@
                 node[1] = RENAMED_CLASSES.get(node[1], node[1])
 
     def _class_of(self, reference: Any) -> str:
-        node = self.nodes[_number(reference)]
+        node = self.nodes[_node_number(reference)]
         return str(node[1]) if node[0] == "o" else ""
 
     def _tuples_to_objects(self, number: int) -> None:
@@ -70,40 +70,40 @@
             stored = self.attributes[number].get(attribute, _MISSING)
             if stored is _MISSING:
                 continue
-            for item in self.nodes[_number(stored)][1]:
-                node = self.nodes[_number(item)]
-                self.attributes[_number(item)] = dict(zip(fields, node[1], strict=True))
+            for item in self.nodes[_node_number(stored)][1]:
+                node = self.nodes[_node_number(item)]
+                self.attributes[_node_number(item)] = dict(zip(fields, node[1], strict=True))
                 node[:] = ["o", name, [], []]
 
-    def _make_parts(self, number: int) -> None:
-        """Make the objects that hold what one object held before, and have that one refer to them."""
-        own = self.attributes[number]
+    def _move_attributes(self, number: int) -> None:
+        """Create the objects to which attributes of one object have moved, and add references to them."""
+        own_attributes = self.attributes[number]
         moved: set[str] = set()
         for part, (name, paths) in MOVED_ATTRIBUTES.get(self.nodes[number][1], {}).items():
-            made = self._add(["o", name, [], []])
-            attributes = self.attributes[_number(made)] = {}
-            own[part] = made
+            reference = self._add_node(["o", name, [], []])
+            attributes = self.attributes[_node_number(reference)] = {}
+            own_attributes[part] = reference
             for attribute, path in paths.items():
-                value = self._at(number, path)
+                value = self._value_at(number, path)
                 if value is not _MISSING:
                     attributes[attribute] = value
                 if attribute != "router":
                     moved.add(path)
         for path in moved:
             holder, _, attribute = path.rpartition(".")
-            value = self._at(number, holder)
+            value = self._value_at(number, holder)
             if value is not _MISSING:
-                self.attributes[_number(value)].pop(attribute, None)
+                self.attributes[_node_number(value)].pop(attribute, None)
 
-    def _derive(self, number: int) -> None:
-        """Give an object references that it now holds itself."""
+    def _derive_attributes(self, number: int) -> None:
+        """Add references that an object now has itself, and that it reached through other objects before."""
         for attribute, path in DERIVED_ATTRIBUTES.get(self.nodes[number][1], {}).items():
-            value = self._at(number, path)
+            value = self._value_at(number, path)
             if value is not _MISSING:
                 self.attributes[number][attribute] = value
 
-    def _finish(self, number: int) -> None:
-        """Rename attributes, leave out what is gone, and add what came later."""
+    def _update_attributes(self, number: int) -> None:
+        """Rename attributes, remove those that no longer exist, and add those that the snapshot lacks."""
         name = self.nodes[number][1]
         renamed = RENAMED_ATTRIBUTES.get(name, {})
         dropped = DROPPED_ATTRIBUTES.get(name, ())
@@ -111,36 +111,36 @@
         attributes = {renamed.get(old, old): value for old, value in stored.items() if old not in dropped}
         for attribute, value in ADDED_ATTRIBUTES.get(name, {}).items():
             if attribute not in attributes:
-                attributes[attribute] = self._stored(value)
+                attributes[attribute] = self._encoded_value(value)
         self.nodes[number] = ["o", name, list(attributes), list(attributes.values())]
 
-    def _stored(self, value: Any) -> Any:
-        """A value of the table as the graph holds it: containers and enum members are nodes of their own."""
+    def _encoded_value(self, value: Any) -> Any:
+        """Return the stored form of a table's value: an enum member or an empty container becomes a node."""
         if isinstance(value, Enum):
-            return self._add(["e", type(value).__name__, value.value])
+            return self._add_node(["e", type(value).__name__, value.value])
         if isinstance(value, dict):
-            return self._add(["d", [], []])
+            return self._add_node(["d", [], []])
         if isinstance(value, list):
-            return self._add(["l", []])
+            return self._add_node(["l", []])
         if isinstance(value, tuple):
-            return self._add(["t", []])
+            return self._add_node(["t", []])
         return value
 
-    def _at(self, number: int, path: str) -> Any:
-        """The value at a path of attributes, by their stored names; the object itself for an empty path."""
+    def _value_at(self, number: int, path: str) -> Any:
+        """Return the value at a path of stored attribute names; an empty path is the object itself."""
         value: Any = _reference(number)
         for attribute in path.split(".") if path else ():
             if not isinstance(value, msgspec.msgpack.Ext):
                 return _MISSING
-            value = self.attributes.get(_number(value), {}).get(attribute, _MISSING)
+            value = self.attributes.get(_node_number(value), {}).get(attribute, _MISSING)
         return value
 
-    def _add(self, node: Node) -> msgspec.msgpack.Ext:
+    def _add_node(self, node: Node) -> msgspec.msgpack.Ext:
         self.nodes.append(node)
         return _reference(len(self.nodes) - 1)
 
 
-def _number(reference: Any) -> int:
+def _node_number(reference: Any) -> int:
     return int.from_bytes(reference.data, "big")
 
 
--- a/stepsail/capture/state.py
+++ b/stepsail/capture/state.py
@@ -1,11 +1,12 @@
-"""A router's state as plain data and back: an object graph without code, so that reading one runs nothing.
+"""Serializes the object graph of a router as plain data. Restoring it executes no code from the file.
 
-Weighed against pickle, which would run what a file names and ties a snapshot to one build's classes by path: here
-classes are looked up by bare name in the module that is given, so that another build of the router can go on from
-the same snapshot, as far as its objects have the same attributes.
+Pickle is not used, as it calls functions that the file names, and binds a snapshot to the classes of one
+build by their paths. Here, classes are looked up by their name alone, in a given module. So another build of
+the router can continue from the same snapshot, as far as its objects have the same attributes.
 
-A snapshot is a list of nodes, the first of which is the root. A node is a list: a letter of `NodeKind`, then what the
-kind needs. Values of `PLAIN_TYPES` stand in a node themselves; any other value is a reference to its node.
+A snapshot is a list of nodes, the first of which is the root. A node is a list: a letter of `NodeKind`,
+followed by the fields of this kind. Values of `PLAIN_TYPES` are stored within a node; any other value is a
+reference to a node.
 """
 
 from __future__ import annotations
@@ -22,81 +23,98 @@
 from stepsail.capture.stored_names import SNAPSHOT_SCHEMA
 
 PLAIN_TYPES = frozenset((type(None), bool, int, float, str, bytes))
-MOST_NODES = 5_000_000
-DEEPEST_NESTING = 500  # of tuples in tuples
+MAX_NODES = 5_000_000
+MAX_TUPLE_DEPTH = 500  # levels of tuples within tuples
 
-_LATER = object()  # in place of a tuple or method, which are made once what they hold is
+# Stands for a tuple or bound method until the objects that it refers to have been created.
+_PLACEHOLDER = object()
 
 
 class NodeKind(StrEnum):
-    """What a node holds, and how its fields are laid out after the letter."""
+    """The kind of a node; the comment lists the fields that follow its letter."""
 
-    KNOWN = "p"  # name; an object that the reader has already
+    EXTERNAL = "p"  # name of an object that is not in the snapshot; the reader supplies it
     ENUM = "e"  # class, value
     LIST = "l"  # items
     TUPLE = "t"  # items
     DICT = "d"  # keys, values
-    DEQUE = "q"  # class, longest length, items
-    METHOD = "m"  # object, name of the method
-    OBJECT = "o"  # class, names of attributes, values
+    DEQUE = "q"  # class, maximum length, items
+    METHOD = "m"  # object, method name
+    OBJECT = "o"  # class, attribute names, values
 
 
-class NoState(Exception):
-    """Something that cannot be written as plain data, or data that does not fit the module."""
+class SnapshotError(Exception):
+    """A value cannot be serialized, or a snapshot does not fit the module."""
 
 
-def freeze(root: Any, known: dict[int, str]) -> bytes:
-    """Write all that `root` reaches. Raises NoState.
+def serialize(root: Any, external_names: dict[int, str]) -> bytes:
+    """Serialize all objects that can be reached from `root`.
 
-    `known` names by id() the objects that are not written, but given again to `thaw`.
+    Args:
+        root: The root of the object graph.
+        external_names: Names of the objects that are not written but given to `deserialize`, by their id().
+
+    Raises:
+        SnapshotError: The graph has an object that cannot be serialized, or too many objects.
     """
-    return msgspec.msgpack.encode({"schema": SNAPSHOT_SCHEMA, "nodes": _GraphWriter(known).write(root)})
+    return msgspec.msgpack.encode(
+        {"schema": SNAPSHOT_SCHEMA, "nodes": _GraphWriter(external_names).write(root)}
+    )
+
 
+def deserialize(data: bytes, module: ModuleType, external_objects: dict[str, Any]) -> Any:
+    """Restore the object graph that `serialize` has written, and return its root.
 
-def thaw(data: bytes, module: ModuleType, known: dict[str, Any]) -> Any:
-    """Build again what `freeze` wrote, with classes of `module` by name. Raises NoState."""
+    Args:
+        data: The snapshot.
+        module: The module in which classes are looked up by name.
+        external_objects: The objects that the snapshot refers to by name.
+
+    Raises:
+        SnapshotError: The snapshot is malformed, or does not fit the module.
+    """
     try:
-        return _GraphReader(_present_nodes(msgspec.msgpack.decode(data)), module, known).read()
+        return _GraphReader(_current_nodes(msgspec.msgpack.decode(data)), module, external_objects).read()
     except (msgspec.DecodeError, IndexError, TypeError, ValueError, KeyError, AttributeError) as error:
-        raise NoState(f"{type(error).__name__}: {error}") from None
+        raise SnapshotError(f"{type(error).__name__}: {error}") from None
 
 
-def _present_nodes(stored: Any) -> list[Node]:
-    """The nodes of a snapshot in the present schema. Those of the first schema stand without a number."""
+def _current_nodes(stored: Any) -> list[Node]:
+    """Return the nodes of a snapshot in the current schema. Snapshots of schema 1 have no schema number."""
     if isinstance(stored, list):
         return SnapshotUpgrade(stored).run()
     if stored["schema"] != SNAPSHOT_SCHEMA:
-        raise NoState(f"snapshot of schema {stored['schema']}, expected at most {SNAPSHOT_SCHEMA}")
+        raise SnapshotError(f"snapshot of schema {stored['schema']}, expected at most {SNAPSHOT_SCHEMA}")
     nodes: list[Node] = stored["nodes"]
     return nodes
 
 
 class _GraphWriter:
-    """Turns objects into nodes, each object into one."""
+    """Converts objects to nodes, one node per object."""
 
-    def __init__(self, known: dict[int, str]) -> None:
-        self.known = known
-        self.numbers: dict[int, int] = {}  # of nodes, by id() of their objects
+    def __init__(self, external_names: dict[int, str]) -> None:
+        self.external_names = external_names
+        self.node_numbers: dict[int, int] = {}  # by the id() of the node's object
         self.nodes: list[Any] = []
         self.pending: list[Any] = []
-        self.kept_alive: list[
-            Any
-        ] = []  # a bound method is made anew at each look: its id must not be used twice
+        # Keeps all objects that have a node. A bound method is a new object at each access; if it were freed,
+        # another object could get its id().
+        self.kept_alive: list[Any] = []
 
     def write(self, root: Any) -> list[Node]:
-        """The nodes of all that `root` reaches."""
+        """Return the nodes of all objects that can be reached from `root`."""
         self._reference(root)
         while self.pending:
             value = self.pending.pop()
-            self.nodes[self.numbers[id(value)]] = self._node(value)
-            if len(self.nodes) > MOST_NODES:
-                raise NoState(f"over {MOST_NODES} objects")
+            self.nodes[self.node_numbers[id(value)]] = self._node(value)
+            if len(self.nodes) > MAX_NODES:
+                raise SnapshotError(f"more than {MAX_NODES} objects")
         return self.nodes
 
     def _node(self, value: Any) -> Node:
         kind = type(value)
-        if id(value) in self.known:
-            return [NodeKind.KNOWN.value, self.known[id(value)]]
+        if id(value) in self.external_names:
+            return [NodeKind.EXTERNAL.value, self.external_names[id(value)]]
         if isinstance(value, Enum):
             return [NodeKind.ENUM.value, kind.__name__, value.value]
         if isinstance(value, list | tuple | dict | deque):
@@ -107,10 +125,10 @@
             attributes = value.__dict__
             values = self._references(attributes.values())
             return [NodeKind.OBJECT.value, kind.__name__, list(attributes), values]
-        raise NoState(f"a {kind.__name__} cannot be written as plain data")
+        raise SnapshotError(f"cannot serialize an object of type {kind.__name__}")
 
     def _container(self, value: Any) -> Node:
-        """A list, tuple or dict, but none of a class derived from these; a deque of any class."""
+        """Return the node of a container; subclasses of list, tuple and dict are not supported."""
         kind = type(value)
         if isinstance(value, deque):
             return [NodeKind.DEQUE.value, kind.__name__, value.maxlen, self._references(value)]
@@ -120,102 +138,105 @@
             return [NodeKind.LIST.value, self._references(value)]
         if kind is tuple:
             return [NodeKind.TUPLE.value, self._references(value)]
-        raise NoState(f"a {kind.__name__} cannot be written as plain data")
+        raise SnapshotError(f"cannot serialize an object of type {kind.__name__}")
 
     def _reference(self, value: Any) -> Any:
-        """The value itself if it is plain, else a reference to its node, which is still to be filled in."""
+        """Return a plain value itself, and for others a reference to a node, which is filled in later."""
         if type(value) in PLAIN_TYPES:
             return value
-        number = self.numbers.get(id(value))
+        number = self.node_numbers.get(id(value))
         if number is None:
-            number = self.numbers[id(value)] = len(self.nodes)
+            number = self.node_numbers[id(value)] = len(self.nodes)
             self.nodes.append(None)
             self.pending.append(value)
             self.kept_alive.append(value)
         return msgspec.msgpack.Ext(REFERENCE, number.to_bytes(4, "big"))
 
     def _references(self, values: Iterable[Any]) -> list[Any]:
-        found = list(values)
-        return found if set(map(type, found)) <= PLAIN_TYPES else [self._reference(v) for v in found]
+        listed = list(values)
+        return listed if set(map(type, listed)) <= PLAIN_TYPES else [self._reference(v) for v in listed]
 
 
 class _GraphReader:
-    """Turns nodes into objects: first empty ones, then what they hold, as they may hold each other."""
+    """Converts nodes to objects: creates them empty, then fills them, as they may refer to each other."""
 
-    def __init__(self, nodes: list[Node], module: ModuleType, known: dict[str, Any]) -> None:
+    def __init__(self, nodes: list[Node], module: ModuleType, external_objects: dict[str, Any]) -> None:
         self.nodes = nodes
         self.module = module
-        self.known = known
-        self.made: list[Any] = []
+        self.external_objects = external_objects
+        self.objects: list[Any] = []
 
     def read(self) -> Any:
-        """The root, with all that it reaches."""
-        self.made = [self._empty(node) for node in self.nodes]
+        """Return the root, after restoring all objects."""
+        self.objects = [self._create_empty(node) for node in self.nodes]
         for number in range(len(self.nodes)):
-            self._make_immutable(number, 0)
-        for node, value in zip(self.nodes, self.made, strict=True):
+            self._create_immutable(number, 0)
+        for node, value in zip(self.nodes, self.objects, strict=True):
             self._fill(node, value)
-        return self.made[0]
+        return self.objects[0]
 
-    def _empty(self, node: Node) -> Any:
+    def _create_empty(self, node: Node) -> Any:
         kind = NodeKind(node[0])
-        if kind is NodeKind.KNOWN:
-            return self.known[node[1]]
+        if kind is NodeKind.EXTERNAL:
+            return self.external_objects[node[1]]
         if kind is NodeKind.LIST:
             return []
         if kind is NodeKind.DICT:
             return {}
         if kind in (NodeKind.TUPLE, NodeKind.METHOD):
-            return _LATER
-        return self._instance(kind, node)
+            return _PLACEHOLDER
+        return self._create_instance(kind, node)
 
-    def _instance(self, kind: NodeKind, node: Node) -> Any:
-        """An enum member, or an empty object of a class of the module."""
+    def _create_instance(self, kind: NodeKind, node: Node) -> Any:
+        """Return an enum member, or an empty deque or object, of a class of the module."""
         name = node[1]
         is_plain_deque = kind is NodeKind.DEQUE and name == "deque"
-        found: Any = deque if is_plain_deque else getattr(self.module, name, None)
-        if not isinstance(found, type):
-            raise NoState(f"the module has no class {name}")
-        if kind is NodeKind.ENUM and issubclass(found, Enum):
-            return found(node[2])
-        if kind is NodeKind.DEQUE and issubclass(found, deque):
-            make: Callable[..., Any] = found
+        cls: Any = deque if is_plain_deque else getattr(self.module, name, None)
+        if not isinstance(cls, type):
+            raise SnapshotError(f"the module has no class {name}")
+        if kind is NodeKind.ENUM and issubclass(cls, Enum):
+            return cls(node[2])
+        if kind is NodeKind.DEQUE and issubclass(cls, deque):
+            make: Callable[..., Any] = cls
             return make(maxlen=node[2])
-        if kind is NodeKind.OBJECT and not issubclass(found, Enum):
-            return found.__new__(found)
-        raise NoState(f"{name} is not what the snapshot says")
-
-    def _make_immutable(self, number: int, depth: int) -> Any:
-        """Make a tuple or a bound method, and first those that it holds."""
-        if self.made[number] is not _LATER:
-            return self.made[number]
-        if depth > DEEPEST_NESTING:
-            raise NoState("tuples nest too deep")
+        if kind is NodeKind.OBJECT and not issubclass(cls, Enum):
+            return cls.__new__(cls)
+        raise SnapshotError(f"class {name} does not fit its kind in the snapshot")
+
+    def _create_immutable(self, number: int, depth: int) -> Any:
+        """Create a tuple or a bound method, after the tuples and bound methods that it refers to."""
+        if self.objects[number] is not _PLACEHOLDER:
+            return self.objects[number]
+        if depth > MAX_TUPLE_DEPTH:
+            raise SnapshotError("tuples are nested too deeply")
         node = self.nodes[number]
         is_tuple = node[0] == NodeKind.TUPLE
         parts = [
-            self._make_immutable(_number(part), depth + 1) if isinstance(part, msgspec.msgpack.Ext) else part
+            self._create_immutable(_node_number(part), depth + 1)
+            if isinstance(part, msgspec.msgpack.Ext)
+            else part
             for part in (node[1] if is_tuple else [node[1]])
         ]
-        self.made[number] = tuple(parts) if is_tuple else getattr(parts[0], node[2])
-        return self.made[number]
+        self.objects[number] = tuple(parts) if is_tuple else getattr(parts[0], node[2])
+        return self.objects[number]
 
     def _fill(self, node: Node, value: Any) -> None:
         kind = node[0]
         if kind == NodeKind.LIST:
-            value.extend(self._values(node[1]))
+            value.extend(self._resolve(node[1]))
         elif kind == NodeKind.DEQUE:
-            value.extend(self._values(node[3]))
+            value.extend(self._resolve(node[3]))
         elif kind == NodeKind.DICT:
-            value.update(zip(self._values(node[1]), self._values(node[2]), strict=True))
+            value.update(zip(self._resolve(node[1]), self._resolve(node[2]), strict=True))
         elif kind == NodeKind.OBJECT:
-            value.__dict__.update(zip(node[2], self._values(node[3]), strict=True))
+            value.__dict__.update(zip(node[2], self._resolve(node[3]), strict=True))
 
-    def _values(self, stored: list[Any]) -> list[Any]:
+    def _resolve(self, stored: list[Any]) -> list[Any]:
         return [
-            self.made[_number(value)] if isinstance(value, msgspec.msgpack.Ext) else value for value in stored
+            self.objects[_node_number(value)] if isinstance(value, msgspec.msgpack.Ext) else value
+            for value in stored
         ]
 
 
-def _number(reference: msgspec.msgpack.Ext) -> int:
+def _node_number(reference: msgspec.msgpack.Ext) -> int:
     return int.from_bytes(reference.data, "big")
--- a/stepsail/capture/stored_names.py
+++ b/stepsail/capture/stored_names.py
@@ -1,7 +1,8 @@
-"""The names under which a capture stores settings and decision state, which outlive the code's own names.
+"""The names under which captures store the settings and state of a router, independent of names in the code.
 
-A capture's header holds the router's settings by the names of its first format. A snapshot holds decision objects by
-class and attribute name; those of earlier builds are looked up here as one is read.
+The header of a segment has the router's settings under the names of the first format. A snapshot has the
+objects of the router by class and attribute name. The tables here convert the names of earlier builds when a
+snapshot is read.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
     "vote_rate_limit": "votes_per_s",
     "connect_timeout": "connect_wait",
     "key_affinity": "warm_keys",
-}  # field of RouterSettings: its name in a capture, where that is another one
+}  # field of RouterSettings: its name in a capture, where the two differ
 REQUEST_CLASS_FIELDS = {
     "latency_objective": "target",
     "client_timeout": "abandon",
@@ -56,10 +57,11 @@
     "idempotency": "repeat",
     "deduplication_scope": "group",
     "key_window": "window",
-}  # the same for RequestClass
+}  # field of RequestClass: its name in a capture, where the two differ
 
-# Snapshots. Schema 1 holds one object for the whole router, by the names below; schema 2 holds the present classes. A
-# name that changes from here on changes the schema, and gets a table of its own.
+# Snapshots of schema 1 have a single object for most of the router's state, with the old names in the tables
+# below; those of schema 2 have the current classes. Any further change of a stored name needs a new schema
+# number and tables of its own.
 SNAPSHOT_SCHEMA = 2
 RENAMED_CLASSES = {
     "Flow": "StallDetector",
@@ -76,10 +78,11 @@
     "Trial": "Canary",
     "Umpire": "Router",
 }
-RENAMED_METHODS = {"Umpire": {"beat": "tick", "watch": "ensure_endpoint_watch"}}  # of timers, by stored class
+# By stored class: the methods that timers call.
+RENAMED_METHODS = {"Umpire": {"beat": "tick", "watch": "ensure_endpoint_watch"}}
 TUPLES_TO_OBJECTS = {
     "Router": {"allowances": ("ExposureWindow", ("accepted", "sent"))},
-}  # class and stored attribute, a list of tuples: the class that each becomes, and its attributes
+}  # class: stored attribute, which is a list of tuples: the class that each tuple becomes, and its attributes
 MOVED_ATTRIBUTES: dict[str, dict[str, tuple[str, dict[str, str]]]] = {
     "Router": {
         "pool": (
@@ -161,13 +164,13 @@
             },
         ),
     },
-}  # class: attribute that refers to a part, the part's class, its attributes by where their values were stored
+}  # class: new attribute: class of the new object that it refers to, and the stored path of each value
 DERIVED_ATTRIBUTES = {
     "ServerPool": {"host": "router.host", "settings": "router.charter"},
     "Exposure": {"host": "router.host", "settings": "router.charter", "release": "router.release"},
     "Server": {"pool": "umpire.pool", "host": "umpire.host", "settings": "umpire.charter"},
     "StallDetector": {"host": "umpire.host"},
-}  # class: references that its objects now hold themselves, by paths of stored names
+}  # class: new attribute that refers to an existing object: the path to it by stored names
 RENAMED_ATTRIBUTES = {
     "Attempt": {
         "transaction": "request",
@@ -242,23 +245,25 @@
     "ServerPool": {"best_zone_latency": 0.0, "refused_connects": 0.0, "rejected_attempts": 0.0},
     "StallDetection": {"detectors": []},
     "VotingRules": {"spread": 0.0},
-}  # class: what snapshots lack that were written before an attribute was, or that hold it only where it was set
+}  # class: attribute: default, for snapshots from before the attribute was added or first set
 
 
 def stored_settings(settings: RouterSettings) -> dict[str, Any]:
-    """The settings as a capture's header holds them."""
+    """Return the settings as they are stored in the header of a segment."""
     fields = msgspec.to_builtins(settings)
-    classes = [_renamed(one, REQUEST_CLASS_FIELDS) for one in fields["request_classes"]]
-    return _renamed(fields | {"request_classes": classes}, SETTINGS_FIELDS)
+    classes = [
+        _rename_fields(request_class, REQUEST_CLASS_FIELDS) for request_class in fields["request_classes"]
+    ]
+    return _rename_fields(fields | {"request_classes": classes}, SETTINGS_FIELDS)
 
 
 def read_settings(stored: dict[str, Any]) -> RouterSettings:
-    """The settings out of a capture's header. Raises msgspec.ValidationError for a field missing or malformed."""
-    fields = _renamed(stored, {name: field for field, name in SETTINGS_FIELDS.items()})
+    """Return the settings from a segment's header. Raises msgspec.ValidationError if a field is invalid."""
+    fields = _rename_fields(stored, {name: field for field, name in SETTINGS_FIELDS.items()})
     names = {name: field for field, name in REQUEST_CLASS_FIELDS.items()}
-    classes = [_renamed(one, names) for one in fields.get("request_classes", ())]
+    classes = [_rename_fields(request_class, names) for request_class in fields.get("request_classes", ())]
     return msgspec.convert(fields | {"request_classes": classes}, RouterSettings, strict=False)
 
 
-def _renamed(fields: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
+def _rename_fields(fields: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
     return {names.get(name, name): value for name, value in fields.items()}
--- a/stepsail/cli/captures.py
+++ b/stepsail/cli/captures.py
@@ -15,7 +15,7 @@
 from stepsail.capture.entries import Entry, Event, entry_lines
 from stepsail.capture.folder import (
     CaptureFiles,
-    EmptyStretchError,
+    NoEntriesInPeriodError,
     Run,
     cut,
     entries_of,
@@ -90,7 +90,7 @@
 
 def _table_row(run: Run, segment: Segment) -> list[str]:
     entries = [entry for _, entry in segment.entries()]
-    first_block = "snapshot" if segment.state() is not None else "start"
+    first_block = "snapshot" if segment.snapshot() is not None else "start"
     if segment.meta["gap"]:
         first_block += f", after {segment.meta['gap'].get('lost', '?')} dropped entries"
     return [
@@ -131,10 +131,10 @@
     current_kinds = {_current_kind(kind) for kind in kinds}
     printed = 0
     for run in captures.runs:
-        for stretch in run.stretches():
-            servers = server_addresses(stretch)
+        for segments in run.contiguous_segments():
+            servers = server_addresses(segments)
             click.echo(f"run {run.name}, instance {run.instance}")
-            for number, entry in _select_entries(stretch, start, until, current_kinds):
+            for number, entry in _select_entries(segments, start, until, current_kinds):
                 if printed >= limit:
                     click.echo(f"… more entries follow; the output is limited to {limit} lines (--most)")
                     return
@@ -151,10 +151,10 @@
 
 
 def _select_entries(
-    stretch: list[Segment], start: float | None, until: float | None, kinds: set[str]
+    segments: list[Segment], start: float | None, until: float | None, kinds: set[str]
 ) -> Iterator[tuple[int, Entry]]:
     """Yield the entries of consecutive segments that match the times and kinds, as far as these are given."""
-    for number, entry in entries_of(stretch, start):
+    for number, entry in entries_of(segments, start):
         if start is not None and entry.clock < start:
             continue
         if until is not None and entry.clock > until:
@@ -197,10 +197,10 @@
     if len(matching_runs) != 1:
         names = ", ".join(run.name for run in runs) or "none found"
         raise click.UsageError(f"choose one of the runs with --run: {names}")
-    for stretch in matching_runs[0].stretches():
+    for segments in matching_runs[0].contiguous_segments():
         try:
-            count = cut(stretch, decisions, start, until, out)
-        except EmptyStretchError:
+            count = cut(segments, decisions, start, until, out)
+        except NoEntriesInPeriodError:
             continue
         except ReplayError as error:
             raise CommandFailed(ExitCode.FINDINGS, str(error)) from error
--- a/stepsail/cli/replays.py
+++ b/stepsail/cli/replays.py
@@ -13,10 +13,10 @@
 from stepsail import decisions
 from stepsail.capture.blocks import Segment
 from stepsail.capture.explain import Explainer
-from stepsail.capture.folder import Run, replay_stretch, server_addresses
+from stepsail.capture.folder import Run, replay_segments, server_addresses
 from stepsail.capture.other_builds import InvalidBuild, load_build
 from stepsail.capture.replay import ReplayError, ReplayResult
-from stepsail.capture.state import NoState
+from stepsail.capture.state import SnapshotError
 from stepsail.cli.captures import CLOCK_HELP, print_damage, read_captures
 from stepsail.cli.exit_codes import CommandFailed, ExitCode
 from stepsail.cli.parameters import EXISTING_PATH
@@ -46,22 +46,22 @@
     captures = read_captures(path)
     differing = 0
     for run in captures.runs:
-        for stretch in run.stretches():
-            _print_gap(run, stretch)
+        for segments in run.contiguous_segments():
+            _print_gap(run, segments)
             try:
-                result = replay_stretch(stretch, module, until=until, continue_after_difference=what_if)
-            except (ReplayError, NoState, DamagedFileError) as error:
+                result = replay_segments(segments, module, until=until, continue_after_difference=what_if)
+            except (ReplayError, SnapshotError, DamagedFileError) as error:
                 click.echo(f"run {run.name}: {error}", err=True)
                 differing += 1
                 continue
             differing += result.differing
-            _print_result(run, stretch, result, what_if)
+            _print_result(run, segments, result, what_if)
     print_damage(captures.damaged)
     sys.exit(ExitCode.FINDINGS if differing or captures.damaged else ExitCode.OK)
 
 
-def _print_gap(run: Run, stretch: list[Segment]) -> None:
-    meta = stretch[0].meta
+def _print_gap(run: Run, segments: list[Segment]) -> None:
+    meta = segments[0].meta
     if meta["gap"]:
         click.echo(
             f"run {run.name}: {meta['gap'].get('lost', '?')} entries were dropped before "
@@ -69,13 +69,13 @@
         )
 
 
-def _print_result(run: Run, stretch: list[Segment], result: ReplayResult, what_if: bool) -> None:
+def _print_result(run: Run, segments: list[Segment], result: ReplayResult, what_if: bool) -> None:
     click.echo(
         f"run {run.name}, instance {run.instance}: {result.entries} entries, {result.differing} differ"
     )
     if not result.first_difference:
         return
-    click.echo("\n".join(result.first_difference.lines(server_addresses(stretch))))
+    click.echo("\n".join(result.first_difference.lines(server_addresses(segments))))
     if what_if:
         click.echo(
             "After the first difference, the events are still those that followed the captured commands; "
@@ -97,13 +97,13 @@
     console = Console()
     any_found = False
     for run in read_captures(path).runs:
-        for stretch in run.stretches():
+        for segments in run.contiguous_segments():
             explainer = Explainer(request, vote)
             try:
-                replay_stretch(stretch, decisions, observer=explainer)
-            except (ReplayError, NoState, DamagedFileError) as error:
+                replay_segments(segments, decisions, observer=explainer)
+            except (ReplayError, SnapshotError, DamagedFileError) as error:
                 click.echo(f"run {run.name}: {error}", err=True)
-            for number, lines, rows in explainer.found:
+            for number, lines, rows in explainer.explanations:
                 any_found = True
                 console.print(f"run {run.name}, entry {number}", style="bold")
                 console.print("\n".join(lines), markup=False)
@@ -135,8 +135,8 @@
     if not runs:
         raise click.UsageError("the capture has no such run")
     run = runs[0]
-    stretch = next(run.stretches())
+    segments = next(run.contiguous_segments())
     try:
-        CaptureApp(Track(stretch, decisions), f"instance {run.instance}, run {run.name}").run()
-    except (ReplayError, NoState, DamagedFileError) as error:
+        CaptureApp(Track(segments, decisions), f"instance {run.instance}, run {run.name}").run()
+    except (ReplayError, SnapshotError, DamagedFileError) as error:
         raise CommandFailed(ExitCode.FINDINGS, str(error)) from error
--- a/stepsail/proxy/application.py
+++ b/stepsail/proxy/application.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from stepsail.capture.recorder import recording
+from stepsail.capture.recorder import with_recording
 from stepsail.capture.writer import CaptureWriter, fingerprint
 from stepsail.decisions.interface import MakeRouter, ServerHandle, Verdict
 from stepsail.loop import Loop, Task
@@ -82,7 +82,7 @@
             settings.capture_max_bytes,
             settings.capture_max_age,
         )
-        self.make_router = recording(self.make_router, capture)
+        self.make_router = with_recording(self.make_router, capture)
         return capture
 
     def _warn(self, event: str, **fields: Any) -> None:
--- a/stepsail/view/track.py
+++ b/stepsail/view/track.py
@@ -19,14 +19,14 @@
 class Track:
     """A position in a capture: `at` is the entry that comes next, `stage` holds the router as it stood before it."""
 
-    def __init__(self, stretch: list[Segment], module: ModuleType) -> None:
+    def __init__(self, segments: list[Segment], module: ModuleType) -> None:
         self.module = module
-        self.entries: list[Entry] = [e for _, e in entries_of(stretch)]
+        self.entries: list[Entry] = [e for _, e in entries_of(segments)]
         if not self.entries:
             raise ReplayError("the capture holds no entries")
-        self.first = int(stretch[0].meta["first"])
-        self.settings = captured_settings(stretch[0].meta)
-        self.state = stretch[0].state()
+        self.first = int(segments[0].meta["first"])
+        self.settings = captured_settings(segments[0].meta)
+        self.state = segments[0].snapshot()
         if self.state is None and self.entries[0].kind != Event.STARTED:
             raise ReplayError("neither a start nor a snapshot stands at its beginning")
         self.cached: dict[int, bytes] = {}
--- a/tests/capture/test_adapter.py
+++ b/tests/capture/test_adapter.py
@@ -10,7 +10,7 @@
 
 from stepsail import decisions
 from stepsail.adapter.frames import REPLY_HEADER
-from stepsail.capture.folder import read_runs, replay_stretch
+from stepsail.capture.folder import read_runs, replay_segments
 
 ROOT = Path(__file__).parent.parent.parent
 SETTINGS = b"""Lanes.count=1
@@ -85,6 +85,6 @@
     runs, damaged = captures.runs, captures.damaged
     assert damaged == [] and sorted(r.instance for r in runs) == [0, 0]
     for run in runs:
-        for stretch in run.stretches():
-            result = replay_stretch(stretch, decisions)
+        for segments in run.contiguous_segments():
+            result = replay_segments(segments, decisions)
             assert result.first_difference is None and result.event_counts["request_accepted"] == 30
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -9,7 +9,7 @@
 
 from helpers import FakeHost
 
-from stepsail.capture import CaptureWriter, recording
+from stepsail.capture import CaptureWriter, with_recording
 from stepsail.decisions.interface import AttemptOutcome, ReleasePhase
 from stepsail.decisions.router import Router
 
@@ -31,7 +31,7 @@
         return next(self.numbers)
 
     def make(self, *args: Any) -> Any:
-        return recording(Router, self.sink)(*args)
+        return with_recording(Router, self.sink)(*args)
 
 
 def play_history(desk: Any, rounds: int = 30) -> None:
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -9,15 +9,15 @@
 from textual.widgets import DataTable, Static
 
 from stepsail import decisions
-from stepsail.capture.folder import read_runs, replay_stretch
+from stepsail.capture.folder import read_runs, replay_segments
 from stepsail.view.app import CaptureApp
 from stepsail.view.track import Track
 
 
 def track(folder: Path, **how: int) -> Track:
     recorded(folder, rounds=60, **how)
-    (stretch,) = read_runs(folder).runs[0].stretches()
-    return Track(stretch, decisions)
+    (segments,) = read_runs(folder).runs[0].contiguous_segments()
+    return Track(segments, decisions)
 
 
 def test_a_step_back_is_the_same_as_never_having_gone(tmp_path: Path) -> None:
@@ -48,10 +48,10 @@
     recorded(tmp_path, rounds=400, segment_bytes=1000)
     files = sorted(tmp_path.glob("*.cap"))
     files[0].unlink()
-    stretch = next(read_runs(tmp_path).runs[0].stretches())
-    walked = Track(stretch, decisions)
+    segments = next(read_runs(tmp_path).runs[0].contiguous_segments())
+    walked = Track(segments, decisions)
     walked.go(len(walked.entries))
-    assert walked.differs == set() and replay_stretch(stretch, decisions).first_difference is None
+    assert walked.differs == set() and replay_segments(segments, decisions).first_difference is None
 
 
 def test_the_screen_fits_80_columns_and_follows_the_keys(tmp_path: Path) -> None:
