--- a/stepsail/cli/replays.py
+++ b/stepsail/cli/replays.py
@@ -129,7 +129,7 @@
     """Step through a capture in the terminal, forward and backward."""
     # Imported here, as textual loads slowly and no other command needs it.
     from stepsail.view.app import CaptureApp
-    from stepsail.view.track import Track
+    from stepsail.view.track import CaptureCursor
 
     runs = [run for run in read_captures(path).runs if name in (None, run.name)]
     if not runs:
@@ -137,6 +137,6 @@
     run = runs[0]
     segments = next(run.contiguous_segments())
     try:
-        CaptureApp(Track(segments, decisions), f"instance {run.instance}, run {run.name}").run()
+        CaptureApp(CaptureCursor(segments, decisions), f"instance {run.instance}, run {run.name}").run()
     except (ReplayError, SnapshotError, DamagedFileError) as error:
         raise CommandFailed(ExitCode.FINDINGS, str(error)) from error
--- a/stepsail/consensus/__init__.py
+++ b/stepsail/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""Raft consensus (Ongaro and Ousterhout 2014) among a fixed set of voters, without I/O."""
+"""Implements Raft consensus (Ongaro and Ousterhout 2014) among a fixed set of voters, without I/O."""
 
 from stepsail.consensus.messages import InvalidMessageError, Message, decode, encode
 from stepsail.consensus.persistent_state import LogEntry, PersistentState, StateWrite
--- a/stepsail/consensus/bootstrap.py
+++ b/stepsail/consensus/bootstrap.py
@@ -1,4 +1,7 @@
-"""How the voters form a cluster, and how one that lost its storage joins it again."""
+"""Forms the cluster from voters with new storage, and lets a voter that lost its storage rejoin it.
+
+Each voter's storage has an identity. Only a voter whose identity the other voters have recorded may vote.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +13,10 @@
 
 
 class Bootstrap:
-    """Collects the identities of voters with new storage.
+    """Collects the storage identities of voters that ask to join.
 
     Attributes:
-        new_identities: By voter, the storage identity of those that asked to join.
+        new_identities: Storage identity of each voter that sent a join request, by voter number.
     """
 
     def __init__(self, replica: ReplicaState, snapshots: SnapshotTransfer) -> None:
@@ -22,7 +25,7 @@
         self.new_identities: dict[int, int] = {}
 
     def request_join(self) -> None:
-        """Ask all others to join, once an election timeout."""
+        """Send a join request to all peers, once per election timeout."""
         replica = self.replica
         if replica.now >= replica.election_deadline:
             replica.reset_election_timeout()
@@ -31,7 +34,7 @@
         self._form_cluster()
 
     def handle_join(self, request: Message) -> None:
-        """Answer a voter with new storage."""
+        """Handle a join request from a voter with new storage."""
         replica = self.replica
         sender = request.sender
         may_vote = replica.may_vote(sender, request.identity)
@@ -41,29 +44,34 @@
         elif replica.role is Role.LEADER and may_vote:
             self.snapshots.send(sender)
         elif replica.role is Role.LEADER:
-            self.new_identities[sender] = request.identity  # the host proposes that it may vote
+            # The host fetches it by `take_new_identities` and proposes a command that admits it.
+            self.new_identities[sender] = request.identity
         elif may_vote and not replica.persistent.last_index:
-            # The cluster has just been formed, and the sender missed the last join request.
+            # The cluster has just been formed, but the sender missed the join request of some voter.
             initial_state = msgspec.msgpack.encode(replica.persistent)
             replica.send(sender, MessageKind.INSTALL_SNAPSHOT, payload=initial_state)
 
     def take_new_identities(self) -> list[tuple[int, int]]:
-        """For a leader: voters that asked to join under an identity that may not vote yet."""
+        """Return and clear the voters that asked to join under an identity that may not vote yet.
+
+        The result is empty unless this replica is the leader.
+        """
         replica = self.replica
         if replica.role is not Role.LEADER:
             return []
-        found = [
+        not_admitted = [
             (voter, identity)
             for voter, identity in sorted(self.new_identities.items())
             if not replica.may_vote(voter, identity)
         ]
         self.new_identities = {}
-        return found
+        return not_admitted
 
     def _form_cluster(self) -> None:
-        """Form the cluster once every voter has new storage.
+        """Form the cluster once every voter has asked to join with new storage.
 
-        A majority is not enough: voters that lost their storage must not form a second cluster beside the first.
+        A majority is not enough: if a majority of an existing cluster lost its storage, these voters would
+        form a second cluster beside the first.
         """
         replica = self.replica
         already_formed = replica.role is not Role.JOINING or replica.persistent.identities
--- a/stepsail/consensus/election.py
+++ b/stepsail/consensus/election.py
@@ -1,4 +1,4 @@
-"""Leader election with pre-vote (Ongaro's dissertation, 2014, 9.6)."""
+"""Implements leader election with pre-vote (Ongaro's dissertation, 2014, section 9.6)."""
 
 from __future__ import annotations
 
@@ -13,18 +13,25 @@
 
 
 class Election:
-    """A candidate's side of an election, and a voter's answers. `on_elected` is called once a majority has voted."""
+    """Runs elections as a candidate, and responds to the vote requests of other candidates.
+
+    Attributes:
+        on_elected: Called when a majority has granted this replica its vote.
+        pre_vote: Whether the current candidacy is still in its pre-vote phase.
+        votes: The voters that granted their vote, or their pre-vote, in the current candidacy.
+    """
 
     def __init__(self, replica: ReplicaState, on_elected: Callable[[], None]) -> None:
         self.replica = replica
         self.on_elected = on_elected
-        self.pre_vote = False  # whether the present candidacy is still in its pre-vote
+        self.pre_vote = False
         self.votes: set[int] = set()
 
     def start(self, pre_vote: bool = True) -> None:
-        """Become a candidate.
+        """Become a candidate and request votes, or pre-votes.
 
-        The pre-vote does not raise the term: a replica that was partitioned away deposes no leader on its return.
+        The pre-vote does not increment the term, so a replica that returns from a network partition does not
+        force the current leader to step down.
         """
         replica = self.replica
         self.pre_vote = pre_vote
@@ -39,10 +46,11 @@
             replica.send(peer, kind, replica.persistent.last_index, replica.persistent.last_term)
         self._check_majority()
 
-    def answer_pre_vote(self, request: Message) -> None:
-        """Say whether this voter would vote: only if it has heard no leader for an election timeout.
+    def handle_pre_vote_request(self, request: Message) -> None:
+        """Grant a pre-vote if this replica would vote for the candidate.
 
-        The response carries the voters' identities, see `count_pre_vote`.
+        It would not if it received a heartbeat from a leader within the minimum election timeout. The
+        response carries the voters' identities, which `handle_pre_vote_response` uses.
         """
         replica = self.replica
         persistent = replica.persistent
@@ -62,11 +70,12 @@
             payload=identities,
         )
 
-    def count_pre_vote(self, response: Message) -> None:
-        """Count a pre-vote; a majority starts the election proper.
+    def handle_pre_vote_response(self, response: Message) -> None:
+        """Count a pre-vote, and start the election itself once a majority has granted it.
 
-        A replica that was away while another voter's storage was replaced ignores that voter under its new identity,
-        and might never reach a majority. So it takes newer identities from any response.
+        A replica that was down or partitioned while another voter's storage was replaced does not know that
+        voter's new identity, ignores its messages, and might never reach a majority. Therefore it adopts
+        newer identities from any response.
         """
         replica = self.replica
         if response.log_index > replica.persistent.identities_index:
@@ -80,8 +89,8 @@
         elif response.term > current_term:
             replica.step_down(response.term)
 
-    def answer_vote(self, request: Message) -> None:
-        """Vote once a term, for a candidate whose log is up to date."""
+    def handle_vote_request(self, request: Message) -> None:
+        """Vote for a candidate whose log is up to date, and for at most one candidate per term."""
         replica = self.replica
         persistent = replica.persistent
         granted = (
@@ -96,14 +105,14 @@
             replica.reset_election_timeout()
         replica.send(request.sender, MessageKind.VOTE_RESPONSE, success=granted)
 
-    def count_vote(self, response: Message) -> None:
-        """Count a vote of the current term."""
+    def handle_vote_response(self, response: Message) -> None:
+        """Count a vote that was granted in the current term."""
         if response.success and response.term == self.replica.persistent.current_term and not self.pre_vote:
             self.votes.add(response.sender)
             self._check_majority()
 
     def is_up_to_date(self, request: Message) -> bool:
-        """Whether the candidate's log is at least as up to date as this replica's (Raft, 5.4.1)."""
+        """Return whether the candidate's log is at least as up to date as this one (Raft, section 5.4.1)."""
         persistent = self.replica.persistent
         return (request.log_term, request.log_index) >= (persistent.last_term, persistent.last_index)
 
--- a/stepsail/consensus/messages.py
+++ b/stepsail/consensus/messages.py
@@ -1,6 +1,7 @@
-"""Messages between replicas, as versioned msgpack arrays.
+"""Defines the messages between replicas and encodes them as versioned msgpack arrays.
 
-The network may lose, duplicate, delay and reorder them. The order of fields and the values of kinds are wire format.
+The network may lose, duplicate, delay and reorder messages. The order of the fields of `Message` and the
+values of `MessageKind` are part of the wire format.
 """
 
 from __future__ import annotations
@@ -18,39 +19,42 @@
 
 
 class MessageKind(IntEnum):
-    """Raft's remote procedure calls and their responses."""
+    """Lists Raft's remote procedure calls and their responses, and the join request."""
 
-    JOIN_REQUEST = 0  # from a replica whose storage is new, or that belongs to no cluster yet
+    JOIN_REQUEST = 0  # from a replica whose storage is new, or that does not belong to a cluster yet
     PRE_VOTE_REQUEST = 1
     PRE_VOTE_RESPONSE = 2
     VOTE_REQUEST = 3
     VOTE_RESPONSE = 4
-    APPEND_ENTRIES = 5  # without entries: a heartbeat
+    APPEND_ENTRIES = 5  # a heartbeat if it has no entries
     APPEND_RESPONSE = 6
     INSTALL_SNAPSHOT = 7
 
 
 class InvalidMessageError(Exception):
-    """The bytes are no message of this version, or a field is out of bounds."""
+    """Raised if bytes are not a message of this version, or if a field is out of range."""
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """One message.
+    """Holds one message of any kind; fields that a kind does not use have their default.
 
     Attributes:
         version: Version of the message format.
-        kind: What is asked or answered.
-        sender: The sending voter.
+        kind: The request or response that this message is.
+        sender: Number of the sending voter.
         identity: Identity of the sender's storage.
         term: The sender's current term.
-        log_index: In requests, the entry before `entries`, or the candidate's last one; in responses to
-            APPEND_ENTRIES, the last entry that the follower has in common with the leader, or a hint where to retry;
-            in responses to PRE_VOTE_REQUEST, the log index of the identities in `payload`.
+        log_index: In APPEND_ENTRIES, index of the entry that precedes `entries`; in PRE_VOTE_REQUEST and
+            VOTE_REQUEST, of the candidate's last entry; in APPEND_RESPONSE, of the last entry at which the
+            follower's log matches the leader's or, without `success`, a hint after which entry to retry; in
+            PRE_VOTE_RESPONSE, of the entry that last changed the identities in `payload`; in
+            INSTALL_SNAPSHOT, of the last entry that the snapshot covers.
         log_term: Term of the entry at `log_index`.
-        commit_index: The leader's commit index, as far as the entries sent reach.
-        success: The vote is granted, or the entries matched the follower's log.
+        commit_index: The leader's commit index, but at most the index of the last entry in this message.
+        success: Whether the vote or pre-vote is granted, or the entries matched the follower's log.
         entries: Log entries to append.
-        payload: An encoded `PersistentState` (INSTALL_SNAPSHOT) or the voters' identities (PRE_VOTE_RESPONSE).
+        payload: An encoded `PersistentState` (INSTALL_SNAPSHOT) or the voters' identities
+            (PRE_VOTE_RESPONSE).
     """
 
     version: Annotated[int, msgspec.Meta(ge=VERSION, le=VERSION)]
@@ -71,12 +75,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the datagram body for `message`."""
+    """Return the body of the datagram that carries `message`."""
     return ENCODER.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Parse a datagram body.
+    """Decode the body of a datagram.
 
     Raises:
         InvalidMessageError: The bytes are not a valid message of this version.
--- a/stepsail/consensus/persistent_state.py
+++ b/stepsail/consensus/persistent_state.py
@@ -1,6 +1,7 @@
-"""Raft's persistent state, and the writes that change it.
+"""Defines Raft's persistent state, and the writes that change it.
 
-All types are stored and sent as msgpack arrays: the order of their fields is part of the file and message formats.
+All types are stored and sent as msgpack arrays, so the order of their fields is part of the file and message
+formats.
 """
 
 from __future__ import annotations
@@ -11,23 +12,30 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One log entry. `data` is a command of the state machine; empty for the no-op that begins a leader's term."""
+    """Holds one log entry.
+
+    Attributes:
+        term: Term of the leader that created the entry.
+        data: A command for the state machine; empty for the no-op entry at the beginning of a leader's term.
+    """
 
     term: int
     data: bytes
 
 
 class PersistentState(msgspec.Struct, array_like=True):
-    """What a replica must have on stable storage before it answers a message.
+    """Holds the state that a replica must have on stable storage before it responds to a message.
 
     Attributes:
-        identity: When this replica's storage was created (ms). A replica that lost its storage has a new one.
+        identity: Identity of this replica's storage: the time of its creation (ms). A replica that lost its
+            storage gets a new identity.
         current_term: Latest term that the replica has seen.
-        voted_for: Candidate that received its vote in the current term, or `NO_VOTE`.
-        snapshot_index: Last log index that the snapshot covers; 0 without a snapshot.
-        snapshot_term: Term of that entry.
-        snapshot: State of the state machine after that entry.
-        identities: By voter, the storage identity that may vote; empty until the cluster has been formed.
+        voted_for: Candidate that received the replica's vote in the current term, or `NO_VOTE`.
+        snapshot_index: Index of the last log entry that the snapshot covers; 0 without a snapshot.
+        snapshot_term: Term of the entry at `snapshot_index`.
+        snapshot: State of the state machine after the entry at `snapshot_index`.
+        identities: Storage identity under which each voter may vote, by voter number; empty until the cluster
+            has been formed.
         identities_index: Log index of the entry that last changed `identities`.
         entries: Log entries after the snapshot.
     """
@@ -53,7 +61,7 @@
         return self.term_at(self.last_index) or 0
 
     def term_at(self, index: int) -> int | None:
-        """Term of the entry at `index`; None if it was compacted or does not exist."""
+        """Return the term of the entry at `index`; None if the entry was compacted or does not exist."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if self.snapshot_index < index <= self.last_index:
@@ -61,24 +69,25 @@
         return None
 
     def entries_from(self, first_index: int) -> list[LogEntry]:
-        """Log entries from `first_index` on, which must come after the snapshot."""
+        """Return the log entries from `first_index` on, which must be greater than `snapshot_index`."""
         return self.entries[first_index - self.snapshot_index - 1 :]
 
     def entries_before(self, first_index: int) -> list[LogEntry]:
-        """Log entries after the snapshot and before `first_index`."""
+        """Return the log entries that the snapshot does not cover and that precede `first_index`."""
         return self.entries[: first_index - self.snapshot_index - 1]
 
 
 class StateWrite(msgspec.Struct, frozen=True, array_like=True):
-    """One change of the persistent state.
+    """Holds one change of the persistent state.
 
     Attributes:
-        number: Writes are numbered from 1 in the order in which they have to be synced.
+        number: Number of the write. Writes are numbered from 1 in the order in which they must be synced.
         current_term: New current term.
         voted_for: New vote.
         first_index: Index from which `entries` replace the log; 0 if the log does not change.
-        entries: The new end of the log.
-        replacement: An encoded `PersistentState` that replaces everything; empty for a partial change.
+        entries: New entries at the end of the log.
+        replacement: An encoded `PersistentState` that replaces the whole stored state, including its term,
+            vote and log; empty for a partial change.
     """
 
     number: int
@@ -90,7 +99,7 @@
 
 
 def apply_write(state: PersistentState, write: StateWrite) -> PersistentState:
-    """Return the persistent state after `write`."""
+    """Return `state` as changed by `write`."""
     if write.replacement:
         return msgspec.msgpack.decode(write.replacement, type=PersistentState)
     entries = state.entries
--- a/stepsail/consensus/raft_replica.py
+++ b/stepsail/consensus/raft_replica.py
@@ -1,15 +1,17 @@
-"""One Raft replica without I/O: time is an argument, randomness comes from a seed.
+"""Implements one Raft replica without I/O: time is an argument, and randomness comes from a seed.
 
-The host
+The host of a replica must
 
-- calls `receive` for each message, and `tick` no later than `next_timeout`;
-- syncs what `take_writes` returns, in order, and reports it by `writes_synced`;
-- sends what `take_messages` returns: messages are held back until the state that they promise is synced;
-- applies what `take_snapshot` and `take_committed` return, in this order.
+- call `receive` for each message, and `tick` at `next_timeout` at the latest;
+- sync the writes that `take_writes` returns, in order, and report this by `writes_synced`;
+- send the messages that `take_messages` returns: it holds messages back until the state they depend on is
+  synced;
+- restore the snapshot that `take_snapshot` returns, then apply the entries that `take_committed` returns.
 
-Differences from the paper: messages may be lost, duplicated, delayed and reordered, so nothing depends on counting
-them; and each voter's storage has an identity, so that a voter that lost its storage neither votes nor counts before
-the others have committed its new identity.
+There are two differences from the paper. Messages may be lost, duplicated, delayed and reordered, so no
+decision depends on the number of messages received. Each voter's storage has an identity, so that a voter
+that lost its storage neither votes nor is part of a majority until the other voters have committed its new
+identity.
 """
 
 from __future__ import annotations
@@ -26,7 +28,13 @@
 
 
 class RaftReplica:
-    """One voter. `persistent` is its state as read from stable storage; log indices begin at 1."""
+    """Combines the parts of one voter's replica, and passes messages and timeouts to them.
+
+    Log indices begin at 1.
+
+    Attributes:
+        next_timeout: When the host must call `tick` at the latest (s).
+    """
 
     def __init__(
         self, voter: int, voters: tuple[int, ...], persistent: PersistentState, seed: int, now: float
@@ -35,17 +43,17 @@
         self.snapshots = SnapshotTransfer(self.replica)
         self.bootstrap = Bootstrap(self.replica, self.snapshots)
         self.replication = LogReplication(self.replica, self.snapshots)
-        self.election = Election(self.replica, self._elected)
+        self.election = Election(self.replica, self._become_leader)
         self.next_timeout = now
 
     @property
     def role(self) -> Role:
-        """The present role."""
+        """The current role."""
         return self.replica.role
 
     @property
     def leader(self) -> int | None:
-        """The voter that this replica follows, if it knows one."""
+        """The leader of the current term; None if this replica does not know it."""
         return self.replica.leader
 
     @property
@@ -66,7 +74,7 @@
     # Time and messages
 
     def tick(self, now: float) -> None:
-        """Act on timeouts that have passed."""
+        """Handle the timeouts that have expired."""
         replica = self.replica
         replica.now = max(replica.now, now)
         if replica.role is Role.JOINING:
@@ -78,7 +86,11 @@
         self.next_timeout = replica.next_timeout
 
     def receive(self, message: Message, now: float) -> None:
-        """Handle a message; one from a non-voter or from a storage identity that may not vote is ignored."""
+        """Handle a message, and ignore it if its sender is not a voter.
+
+        Messages from a storage identity that may not vote are ignored as well, except for join requests and
+        snapshots.
+        """
         replica = self.replica
         replica.now = max(replica.now, now)
         if message.sender not in replica.peers:
@@ -95,17 +107,17 @@
         replica = self.replica
         kind = message.kind
         if kind is MessageKind.PRE_VOTE_REQUEST:
-            self.election.answer_pre_vote(message)
+            self.election.handle_pre_vote_request(message)
             return
         if kind is MessageKind.PRE_VOTE_RESPONSE:
-            self.election.count_pre_vote(message)
+            self.election.handle_pre_vote_response(message)
             return
         if message.term > replica.persistent.current_term:
             replica.step_down(message.term)
         if kind is MessageKind.VOTE_REQUEST:
-            self.election.answer_vote(message)
+            self.election.handle_vote_request(message)
         elif kind is MessageKind.VOTE_RESPONSE:
-            self.election.count_vote(message)
+            self.election.handle_vote_response(message)
         elif kind is MessageKind.APPEND_ENTRIES:
             self.replication.handle_append(message)
         elif kind is MessageKind.APPEND_RESPONSE and self._is_current_leader(message):
@@ -114,7 +126,7 @@
     def _is_current_leader(self, response: Message) -> bool:
         return self.replica.role is Role.LEADER and response.term == self.replica.persistent.current_term
 
-    def _elected(self) -> None:
+    def _become_leader(self) -> None:
         self.bootstrap.new_identities = {}
         self.replication.become_leader()
 
@@ -123,7 +135,9 @@
     def propose(self, data: bytes) -> int | None:
         """Append a command to the log and return its index.
 
-        Returns None where this replica does not lead, the command is too long or too many are uncommitted.
+        Returns:
+            The log index. None if this replica is not the leader, if the command is longer than
+            `MAX_ENTRY_BYTES`, or if `MAX_UNCOMMITTED_ENTRIES` entries are uncommitted already.
         """
         replica = self.replica
         uncommitted = replica.persistent.last_index - replica.commit_index
@@ -136,29 +150,32 @@
         return self.replication.append(data)
 
     def take_writes(self) -> list[StateWrite]:
-        """Return the writes to sync, in order; report the last one's number by `writes_synced`."""
+        """Return the writes to sync, in order.
+
+        The caller must report the number of the last synced write by `writes_synced`.
+        """
         return self.outbox.take_writes()
 
     def writes_synced(self, number: int) -> None:
-        """All writes up to this number are on stable storage."""
+        """Record that all writes up to this number are on stable storage, and advance the commit index."""
         self.outbox.synced(number)
         if self.replica.role is Role.LEADER:
             self.replication.advance_commit_index()
 
     def take_messages(self) -> list[tuple[int, Message]]:
-        """Return the messages that may be sent now, each with its receiver, in order."""
+        """Return the messages to send now, in order, each with the number of its receiver."""
         return self.outbox.take_messages()
 
-    # The state machine
+    # State machine
 
     def take_snapshot(self) -> bytes:
-        """Return a snapshot that the state machine has to restore first; empty if there is none."""
+        """Return the snapshot to restore before any entries are applied; empty if there is none."""
         snapshot = self.replica.pending_snapshot
         self.replica.pending_snapshot = b""
         return snapshot
 
     def take_committed(self) -> list[tuple[int, LogEntry]]:
-        """Return the committed entries that were not applied yet, with their indices."""
+        """Return the committed entries that the state machine has not applied yet, with their indices."""
         replica = self.replica
         first_index = replica.last_applied + 1
         count = replica.commit_index - replica.last_applied
@@ -167,18 +184,31 @@
         return list(enumerate(committed, first_index))
 
     def compact(self, snapshot: bytes) -> None:
-        """Offer the state machine's state after all applied entries; a log that is long enough is compacted."""
+        """Compact the log if it has reached `SNAPSHOT_THRESHOLD`.
+
+        Args:
+            snapshot: State of the state machine after all entries that `take_committed` has returned.
+        """
         self.snapshots.compact(snapshot)
 
     # Voters' identities
 
     def take_new_identities(self) -> list[tuple[int, int]]:
-        """For a leader: voters with new storage and their identities, which the host has to propose."""
+        """Return voters with new storage and their identities, which the host must propose to admit.
+
+        The result is empty unless this replica is the leader.
+        """
         return self.bootstrap.take_new_identities()
 
     def admit_identity(self, voter: int, identity: int, index: int) -> None:
-        """The entry at this log index is committed: the voter votes under this identity from now on."""
+        """Let a voter vote under a new storage identity.
+
+        Args:
+            voter: The voter's number.
+            identity: The new identity of its storage.
+            index: Log index of the committed entry that admits the identity.
+        """
         replica = self.replica
         if voter in replica.voters and index > replica.persistent.identities_index:
             replica.save_identities(replica.persistent.identities | {voter: identity}, index)
-            self.replication.forget_progress(voter)
+            self.replication.reset_progress(voter)
--- a/stepsail/consensus/replica_state.py
+++ b/stepsail/consensus/replica_state.py
@@ -1,4 +1,4 @@
-"""The state that all parts of one replica share: persistent and volatile state, role, timers and outbox."""
+"""Holds the state shared by all parts of a replica: Raft's persistent and volatile state, timers, outbox."""
 
 from __future__ import annotations
 
@@ -15,26 +15,36 @@
 
 
 class Role(Enum):
-    """Raft's roles. The values are shown to operators."""
+    """Lists Raft's roles, and one for a replica outside the cluster. The values are shown to operators."""
 
-    JOINING = "new"  # belongs to no cluster yet, or its storage is new
+    JOINING = "new"  # the replica does not belong to a cluster yet, or its storage is new
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 class ReplicaState:
-    """One voter's state.
+    """Holds the state of one voter's replica, and queues its writes and messages.
 
     Attributes:
-        persistent: What has to be on stable storage; every change of it is queued in `outbox`.
+        voter: This voter's number.
+        voters: Numbers of all voters, in ascending order.
+        peers: Numbers of all other voters.
+        majority: Number of voters that form a majority.
+        persistent: State that must be on stable storage; every change of it is queued in `outbox`.
+        seed: Seed of the election timeouts.
+        random_draws: Number of election timeouts drawn so far.
+        now: Time of the message or timeout that is being handled (s).
+        role: The current role.
+        leader: The leader of the current term; None if this replica does not know it.
         commit_index: Highest log index known to be committed.
-        last_applied: Highest log index handed to the state machine.
-        leader: The voter that this replica follows, if it knows one.
-        last_heartbeat: When a leader was last heard (s).
-        election_deadline: When a replica that hears no leader starts an election (s).
-        heartbeat_due: When a leader sends the next heartbeat (s); infinite for all others.
-        pending_snapshot: A snapshot that the state machine has to restore before it applies further entries.
+        last_applied: Highest log index passed to the state machine.
+        last_heartbeat: When the last AppendEntries request was accepted from a leader (s).
+        election_deadline: When a follower or candidate starts an election if it receives no heartbeat (s).
+        heartbeat_due: When a leader sends the next heartbeat (s); infinite in all other roles.
+        outbox: Queue of writes and messages.
+        pending_snapshot: Snapshot that the state machine must restore before it applies further entries;
+            empty if there is none.
     """
 
     def __init__(
@@ -61,16 +71,16 @@
 
     @property
     def next_timeout(self) -> float:
-        """When the replica has to act next, if no message comes first (s)."""
+        """When the replica must act next unless it receives a message before (s)."""
         due = self.heartbeat_due if self.role is Role.LEADER else self.election_deadline
         return max(self.now, due)
 
     def may_vote(self, voter: int, identity: int) -> bool:
-        """Whether the log names this storage identity for the voter; one that lost its storage must not vote."""
+        """Return whether the voter may vote under this identity, which changes if it loses its storage."""
         return self.persistent.identities.get(voter) == identity
 
     def reset_election_timeout(self) -> None:
-        """Draw a new election timeout from the seed and the number of draws so far."""
+        """Restart the election timeout with a random length, drawn from the seed and the number of draws."""
         self.random_draws += 1
         fraction = crc32(b"%d.%d.%d" % (self.seed, self.voter, self.random_draws)) / 2**32
         self.election_deadline = (
@@ -78,12 +88,12 @@
         )
 
     def become_follower(self) -> None:
-        """Give up any candidacy or leadership; term, timer and known leader stay."""
+        """End a candidacy or leadership, but keep the term, the election timeout and the known leader."""
         self.role = Role.FOLLOWER
         self.heartbeat_due = inf
 
     def step_down(self, term: int) -> None:
-        """Follow a higher term, in which this replica has not voted and knows no leader."""
+        """Become a follower in a higher term, in which this replica has no vote and no known leader."""
         self.become_follower()
         self.leader = None
         self.reset_election_timeout()
@@ -105,7 +115,7 @@
         self.outbox.write(self.persistent, first_index, entries)
 
     def save_identities(self, identities: dict[int, int], index: int) -> None:
-        """Set the voters' storage identities, as of this log index."""
+        """Set the voters' storage identities, which the log entry at this index changed last."""
         self.persistent = msgspec.structs.replace(
             self.persistent, identities=identities, identities_index=index
         )
@@ -128,7 +138,7 @@
         entries: tuple[LogEntry, ...] = (),
         payload: bytes = b"",
     ) -> None:
-        """Queue a message to another voter, with this replica's identity and current term."""
+        """Queue a message to another voter, with this replica's identity and current term; see `Message`."""
         message = Message(
             VERSION,
             kind,
--- a/stepsail/consensus/replication.py
+++ b/stepsail/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Log replication: a leader's progress at each follower, and a follower's side of AppendEntries."""
+"""Implements log replication: the AppendEntries requests of a leader and the responses of a follower."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class LogReplication:
-    """Replicates one replica's log while it leads, and appends a leader's entries while it follows.
+    """Sends a replica's log to its followers while it leads, and appends a leader's entries while it follows.
 
     Attributes:
-        next_index: By follower, the next log entry to send.
-        match_index: By follower, the highest log entry known to be on its stable storage.
-        last_response: By follower, when it last answered this leader (s).
+        next_index: Index of the next log entry to send, by follower.
+        match_index: Index of the last log entry known to be on the follower's stable storage, by follower.
+        last_response: When this leader last received a response (s), by follower.
     """
 
     def __init__(self, replica: ReplicaState, snapshots: SnapshotTransfer) -> None:
@@ -33,10 +33,11 @@
     # Leader
 
     def become_leader(self) -> None:
-        """Begin a term as leader.
+        """Become the leader of the current term and append a no-op entry.
 
-        A no-op entry of the new term lets earlier entries be committed: only entries of the leader's own term are
-        committed by counting replicas (Raft, 5.4.2).
+        The no-op entry lets the leader commit entries of earlier terms: only an entry of the leader's own
+        term is committed by counting the replicas that store it, and it commits all entries before it (Raft,
+        section 5.4.2).
         """
         replica = self.replica
         replica.role = Role.LEADER
@@ -48,7 +49,7 @@
         self.append(b"")
 
     def append(self, data: bytes) -> int:
-        """Append an entry of the current term and send it to all followers; return its index."""
+        """Append an entry of the current term, send it to all followers, and return its index."""
         replica = self.replica
         entry = LogEntry(replica.persistent.current_term, data)
         replica.save_entries(replica.persistent.last_index + 1, (entry,))
@@ -56,27 +57,32 @@
         return replica.persistent.last_index
 
     def heartbeat(self) -> None:
-        """Send a heartbeat if one is due; step down without a quorum of responses (check quorum).
+        """Send a heartbeat if one is due, or step down without recent responses from a majority.
 
-        A leader whose messages arrive while it receives none would otherwise keep the others from electing a new one.
+        Without this rule (check quorum), a leader whose messages reach the followers while it receives none
+        of theirs could commit nothing, and its heartbeats would keep the followers from electing another
+        leader.
         """
         replica = self.replica
-        responsive = sum(replica.now - at < CHECK_QUORUM_TIMEOUT for at in self.last_response.values())
-        if responsive + 1 < replica.majority:
+        responsive_followers = sum(
+            replica.now - received_at < CHECK_QUORUM_TIMEOUT for received_at in self.last_response.values()
+        )
+        if responsive_followers + 1 < replica.majority:
             replica.become_follower()
             replica.leader = None
-            replica.election_deadline = replica.now + 2 * MAX_ELECTION_TIMEOUT  # another one goes first
+            # Longer than any election timeout, so that another replica starts an election first.
+            replica.election_deadline = replica.now + 2 * MAX_ELECTION_TIMEOUT
         elif replica.now >= replica.heartbeat_due:
             replica.heartbeat_due = replica.now + HEARTBEAT_INTERVAL
             self.send_to_all()
 
     def send_to_all(self) -> None:
-        """Send AppendEntries to every follower."""
+        """Send an AppendEntries request to each follower."""
         for peer in self.replica.peers:
             self._send_entries(peer)
 
     def _send_entries(self, to: int) -> None:
-        """Send the entries from the follower's next index on, or a snapshot where they are compacted."""
+        """Send the entries from the follower's next index on, or a snapshot if they were compacted."""
         replica = self.replica
         persistent = replica.persistent
         if to not in persistent.identities:
@@ -93,10 +99,11 @@
         )
 
     def handle_response(self, response: Message) -> None:
-        """Advance or step back a follower's next index.
+        """Update a follower's match index and next index from its response to AppendEntries.
 
-        More is sent at once only if the response brought progress: messages may be duplicated, and an answer to each
-        duplicate would multiply them. What is lost is sent again with the next heartbeat.
+        Further entries are sent at once only if the response changes one of these indices. The network may
+        duplicate messages, and a reply to each duplicate would multiply them. Entries that are lost are sent
+        again with the next heartbeat.
         """
         follower = response.sender
         match_index = self.match_index.get(follower, 0)
@@ -116,14 +123,17 @@
                 self._send_entries(follower)
 
     def advance_commit_index(self) -> None:
-        """Commit what a majority has on stable storage, if it belongs to the current term (Raft, 5.4.2)."""
+        """Commit the entries that a majority has on stable storage.
+
+        The last of them must belong to the current term (Raft, section 5.4.2).
+        """
         replica = self.replica
-        durable = [
+        durable_indices = [
             replica.outbox.durable_index,
             *(self.match_index.get(peer, 0) for peer in replica.peers),
         ]
-        durable.sort(reverse=True)
-        majority_index = durable[replica.majority - 1]
+        durable_indices.sort(reverse=True)
+        majority_index = durable_indices[replica.majority - 1]
         persistent = replica.persistent
         if (
             majority_index > replica.commit_index
@@ -132,14 +142,14 @@
             replica.commit_index = majority_index
             self.send_to_all()
 
-    def forget_progress(self, follower: int) -> None:
-        """The follower's storage was replaced: what it had acknowledged is gone."""
+    def reset_progress(self, follower: int) -> None:
+        """Reset the match index of a follower that lost its storage and the entries in it."""
         self.match_index.pop(follower, None)
 
     # Follower
 
     def handle_append(self, request: Message) -> None:
-        """Append a leader's entries if the entry before them matches."""
+        """Append a leader's entries if the log matches at the entry before them."""
         replica = self.replica
         if request.term < replica.persistent.current_term:
             self._respond(request, replica.persistent.last_index, success=False)
@@ -151,12 +161,14 @@
         replica.reset_election_timeout()
         snapshot_index = replica.persistent.snapshot_index
         if request.log_index < snapshot_index:
-            self._respond(request, snapshot_index, success=True)  # all up to there is committed
+            # All entries up to the snapshot's index are committed, so they match the leader's log.
+            self._respond(request, snapshot_index, success=True)
             return
         if replica.persistent.term_at(request.log_index) != request.log_term:
-            # Let the leader retry at the end of a shorter log, else one entry earlier.
-            retry_after = min(replica.persistent.last_index, max(snapshot_index, request.log_index - 1))
-            self._respond(request, retry_after, success=False)
+            # The hint is the last entry of this log if it is shorter than the leader assumed, otherwise the
+            # entry one before the mismatch. The leader retries after it.
+            hint_index = min(replica.persistent.last_index, max(snapshot_index, request.log_index - 1))
+            self._respond(request, hint_index, success=False)
             return
         self._append_missing(request)
         last_new_index = request.log_index + len(request.entries)
@@ -164,7 +176,7 @@
         self._respond(request, last_new_index, success=True)
 
     def _append_missing(self, request: Message) -> None:
-        """Replace the log from the first entry on that is missing or of another term."""
+        """Replace the log from the first entry on that is missing or belongs to another term."""
         for offset, entry in enumerate(request.entries):
             index = request.log_index + 1 + offset
             if self.replica.persistent.term_at(index) != entry.term:
--- a/stepsail/consensus/snapshot.py
+++ b/stepsail/consensus/snapshot.py
@@ -1,4 +1,4 @@
-"""Log compaction, and InstallSnapshot for replicas that are too far behind for log entries."""
+"""Compacts the log, and sends snapshots to replicas that need entries that were compacted."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class SnapshotTransfer:
-    """Compacts one replica's log, and sends and installs snapshots."""
+    """Compacts one replica's log, and sends and installs snapshots (Raft, InstallSnapshot)."""
 
     def __init__(self, replica: ReplicaState) -> None:
         self.replica = replica
 
     def compact(self, snapshot: bytes) -> None:
-        """Replace the applied part of the log by the state machine's state, once it is long enough."""
+        """Replace the applied part of the log by a snapshot once it has `SNAPSHOT_THRESHOLD` entries."""
         replica = self.replica
         persistent = replica.persistent
         if replica.last_applied - persistent.snapshot_index < SNAPSHOT_THRESHOLD:
@@ -34,22 +34,22 @@
         replica.save_all()
 
     def send(self, to: int) -> None:
-        """Send the snapshot, the log and the voters' identities, without this replica's own vote and identity."""
+        """Send the persistent state with the snapshot, without this replica's identity, term and vote."""
         replica = self.replica
         persistent = replica.persistent
         if replica.pending_snapshot:
-            return  # this replica's state machine has not caught up itself
-        shared = msgspec.structs.replace(persistent, identity=0, current_term=0, voted_for=NO_VOTE)
+            return  # this replica's own state machine has not restored the snapshot yet
+        shared_state = msgspec.structs.replace(persistent, identity=0, current_term=0, voted_for=NO_VOTE)
         replica.send(
             to,
             MessageKind.INSTALL_SNAPSHOT,
             persistent.snapshot_index,
             persistent.snapshot_term,
-            payload=msgspec.msgpack.encode(shared),
+            payload=msgspec.msgpack.encode(shared_state),
         )
 
     def install(self, message: Message) -> None:
-        """Take over a snapshot that is newer than this replica's, or its first one."""
+        """Install a received snapshot if it is newer than this replica's own, or its first one."""
         replica = self.replica
         try:
             received = msgspec.msgpack.decode(message.payload, type=PersistentState)
@@ -64,9 +64,10 @@
             own.term_at(received.snapshot_index) == received.snapshot_term
             and own.last_index > received.last_index
         ):
-            entries = own.entries_from(received.snapshot_index + 1)  # this replica's log reaches further
-        takes_identities = not own.identities or received.identities_index >= own.identities_index
-        newest = received if takes_identities else own
+            # This replica's log matches at the snapshot's index, and is longer than the received one.
+            entries = own.entries_from(received.snapshot_index + 1)
+        use_received_identities = not own.identities or received.identities_index >= own.identities_index
+        identities_source = received if use_received_identities else own
         replica.persistent = PersistentState(
             own.identity,
             term,
@@ -74,8 +75,8 @@
             received.snapshot_index,
             received.snapshot_term,
             received.snapshot,
-            newest.identities,
-            newest.identities_index,
+            identities_source.identities,
+            identities_source.identities_index,
             entries,
         )
         replica.pending_snapshot = received.snapshot
@@ -88,7 +89,11 @@
         replica.reset_election_timeout()
 
     def _accepts(self, message: Message, received: PersistentState) -> bool:
-        """Whether the snapshot is addressed to this storage identity, and brings a member of the cluster forward."""
+        """Return whether to install a snapshot.
+
+        It must be addressed to this replica's storage identity. A replica that belongs to the cluster only
+        accepts a snapshot that is newer than its own, from a voter, while it is not the leader.
+        """
         replica = self.replica
         own = replica.persistent
         if message.term < own.current_term or received.identities.get(replica.voter) != own.identity:
--- a/stepsail/consensus/state_file.py
+++ b/stepsail/consensus/state_file.py
@@ -1,7 +1,7 @@
-"""Stable storage of a replica's persistent state: one file of checksummed frames.
+"""Stores a replica's persistent state in one file of checksummed frames.
 
-The file begins with a frame of the whole state, followed by one frame for each later write. A replacement of the
-whole state is written to a new file, which is then renamed.
+The first frame holds the whole state, and each frame after it holds one later write. A write that replaces
+the whole state creates a new file, which is then renamed over the old one.
 """
 
 from __future__ import annotations
@@ -17,15 +17,23 @@
 
 FILE_NAME = "order.log"
 NEW_FILE_NAME = "order.new"
-STATE_FRAME = 1
-WRITE_FRAME = 2
+
+# Kinds of frames.
+STATE_FRAME = 1  # a `PersistentState`
+WRITE_FRAME = 2  # a `StateWrite`
 
 WRITE_DECODER = msgspec.msgpack.Decoder(StateWrite)
 STATE_DECODER = msgspec.msgpack.Decoder(PersistentState)
 
 
 class StateFile:
-    """The file in `folder`; `read` comes before any `write`."""
+    """Reads and writes the state file in `folder`. `read` must be called before `write`.
+
+    Attributes:
+        path: Path of the file.
+        new_path: Path of a new file until it is renamed to `path`.
+        frame_count: Number of frames in the file.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / FILE_NAME
@@ -33,54 +41,62 @@
         self.frame_count = 0
 
     def read(self, new_identity: int) -> PersistentState:
-        """Return the stored state; create the file under `new_identity` if there is none.
+        """Return the stored state, or create a file with an empty state under `new_identity`.
 
-        An incomplete frame at the end is cut off: its write was never reported as synced, so no message relied on it.
+        An incomplete frame at the end is dropped: its write was never reported as synced, so no message that
+        depends on it was sent.
+
+        Args:
+            new_identity: Storage identity for a new file; a stored state keeps its own.
 
         Raises:
             OSError: The file cannot be read or written.
-            DamagedFileError: A frame was changed after it was written.
+            DamagedFileError: The bytes of a frame differ from those that were written.
         """
         self.path.parent.mkdir(parents=True, exist_ok=True)
         data = self.path.read_bytes() if self.path.exists() else b""
         offset = 0
         state: PersistentState | None = None
         self.frame_count = 0
-        while offset < len(data) and (found := read_frame(self.path, data, offset)):
-            body = found.payload(data)
-            if found.kind == STATE_FRAME:
-                state = STATE_DECODER.decode(body)
+        while offset < len(data) and (frame := read_frame(self.path, data, offset)):
+            payload = frame.payload(data)
+            if frame.kind == STATE_FRAME:
+                state = STATE_DECODER.decode(payload)
             elif state is not None:
-                state = apply_write(state, WRITE_DECODER.decode(body))
-            offset = found.end
+                state = apply_write(state, WRITE_DECODER.decode(payload))
+            offset = frame.end
             self.frame_count += 1
         if state is None:
             state = PersistentState(new_identity)
         if state.identity == new_identity or offset < len(data):
-            self.replace(state)  # a new file, or one whose incomplete end must not be appended to
+            # The file is new, or it ends with an incomplete frame, after which nothing may be appended.
+            self.replace(state)
         return state
 
     def replace(self, state: PersistentState) -> None:
-        """Write the whole state to a new file and rename it; sync the file and the folder."""
+        """Write the whole state to a new file, rename it over the old one, and sync file and folder."""
         with self.new_path.open("wb") as new_file:
             new_file.write(encode_frame(STATE_FRAME, msgspec.msgpack.encode(state), 0, 0.0))
             new_file.flush()
             os.fsync(new_file.fileno())
         os.replace(self.new_path, self.path)
-        folder = os.open(self.path.parent, os.O_RDONLY)
+        folder_fd = os.open(self.path.parent, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(folder_fd)
         finally:
-            os.close(folder)
+            os.close(folder_fd)
         self.frame_count = 1
 
     def write(self, writes: Sequence[StateWrite]) -> None:
-        """Append the writes and sync. Those before the last replacement of the whole state are left out.
+        """Append the writes to the file and sync it.
+
+        If one of them replaces the whole state, the writes before the last such write are skipped.
 
         Raises:
-            OSError: Nothing of the appended part is stored; the same writes may be tried again.
+            OSError: None of the writes after the last replacement is stored. The caller may retry with the
+                same writes.
         """
-        last_replacement = max((at for at, write in enumerate(writes) if write.replacement), default=-1)
+        last_replacement = max((index for index, write in enumerate(writes) if write.replacement), default=-1)
         if last_replacement >= 0:
             self.replace(STATE_DECODER.decode(writes[last_replacement].replacement))
         appended = writes[last_replacement + 1 :]
@@ -96,7 +112,8 @@
                 file.flush()
                 os.fsync(file.fileno())
             except OSError:
-                # A full disk may leave an incomplete frame, which would count as damage once others follow it.
+                # A full disk may leave an incomplete frame, which `read` would report as damage if others
+                # followed it.
                 os.truncate(self.path, size)
                 raise
         self.frame_count += len(appended)
--- a/stepsail/store/__init__.py
+++ b/stepsail/store/__init__.py
@@ -1,1 +1,1 @@
-"""The file format that captures, audit trails and the consensus log share: frames with checksums."""
+"""Defines the frames with checksums that captures, audit trails and the consensus log are made of."""
--- a/stepsail/view/__init__.py
+++ b/stepsail/view/__init__.py
@@ -1,1 +1,1 @@
-"""A terminal view of a capture: time line, servers, canary, decisions; step forward and back."""
+"""Shows a capture in the terminal: its entries, servers and canary, stepping forward and backward."""
--- a/stepsail/view/app.py
+++ b/stepsail/view/app.py
@@ -1,4 +1,8 @@
-"""The terminal application, on textual: arrows step by entry, page keys by a hundred, n and p by decision."""
+"""Implements the terminal application with Textual.
+
+The arrow keys step by one entry, the page keys by a hundred, and the keys n and p to the next and previous
+decision.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +13,16 @@
 from textual.containers import Vertical
 from textual.widgets import DataTable, Footer, Static
 
-from stepsail.view.track import Track
+from stepsail.view.track import CaptureCursor
 
-TIME_LINES = 11
+TIMELINE_LINES = 11
 DETAIL_LINES = 6
 BAR_WIDTH = 60  # characters
-LEAST_WIDTH = 40  # characters of a line of the time line
+MIN_TIMELINE_WIDTH = 40  # characters; on a narrower screen, lines are cropped at its edge
 
 
 class CaptureApp(App[None]):
-    """Shows one stretch of a capture; made for 80 columns and 24 lines and up."""
+    """Shows consecutive segments of a capture; the layout needs at least 80 columns and 24 lines."""
 
     TITLE = "stepsail capture"
     CSS = """
@@ -33,20 +37,20 @@
         Binding("left", "move(-1)", "back"),
         Binding("pagedown", "move(100)", "+100"),
         Binding("pageup", "move(-100)", "-100"),
-        Binding("n", "decision(True)", "decision"),
-        Binding("p", "decision(False)", "decision before"),
-        Binding("home", "ends(True)", "start", show=False),
-        Binding("end", "ends(False)", "end", show=False),
+        Binding("n", "decision(True)", "next decision"),
+        Binding("p", "decision(False)", "previous decision"),
+        Binding("home", "boundary(True)", "start", show=False),
+        Binding("end", "boundary(False)", "end", show=False),
         Binding("q", "quit", "quit"),
     ]
 
-    def __init__(self, track: Track, name: str) -> None:
+    def __init__(self, cursor: CaptureCursor, name: str) -> None:
         super().__init__()
-        self.track = track
+        self.cursor = cursor
         self.capture_name = name
 
     def compose(self) -> ComposeResult:
-        """The screen: position, time line, the next entry, evidence, servers."""
+        """Create the widgets: position, timeline, next entry, evidence and servers."""
         with Vertical():
             yield Static(id="where", markup=False)
             yield Static(id="lines", markup=False)
@@ -59,55 +63,56 @@
         """Show the first entry."""
         self.refresh_all()
 
-    def action_move(self, by: int) -> None:
-        """Step by so many entries."""
-        self.track.go(min(len(self.track.entries) - 1, self.track.at + by))
+    def action_move(self, offset: int) -> None:
+        """Move by a number of entries, backward if it is negative."""
+        self.cursor.seek(min(len(self.cursor.entries) - 1, self.cursor.position + offset))
         self.refresh_all()
 
     def action_decision(self, forward: bool) -> None:
         """Go to the next or the previous decision."""
-        self.track.go(self.track.next_decision(forward))
+        self.cursor.seek(self.cursor.next_decision(forward))
         self.refresh_all()
 
-    def action_ends(self, first: bool) -> None:
+    def action_boundary(self, first: bool) -> None:
         """Go to the first or the last entry."""
-        self.track.go(0 if first else len(self.track.entries) - 1)
+        self.cursor.seek(0 if first else len(self.cursor.entries) - 1)
         self.refresh_all()
 
     def refresh_all(self) -> None:
-        """Show the track's position anew."""
+        """Update all widgets to the position of the cursor."""
         self.query_one("#where", Static).update(self._position())
-        self.query_one("#lines", Static).update("\n".join(self._time_line()))
-        self.query_one("#detail", Static).update("\n".join(self.track.detail()[:DETAIL_LINES]))
-        self.query_one("#evidence", Static).update("\n".join(self.track.evidence()))
+        self.query_one("#lines", Static).update("\n".join(self._timeline()))
+        self.query_one("#detail", Static).update("\n".join(self.cursor.detail()[:DETAIL_LINES]))
+        self.query_one("#evidence", Static).update("\n".join(self.cursor.evidence()))
         table: DataTable[str] = self.query_one("#servers", DataTable)
         table.clear(columns=True)
-        rows = self.track.servers()
+        rows = self.cursor.server_table()
         if rows:
             table.add_columns(*rows[0])
             for row in rows[1:]:
                 table.add_row(*row)
 
     def _position(self) -> str:
-        """Which entry comes next, in numbers and as a bar."""
-        track = self.track
-        total = len(track.entries)
-        done = round(BAR_WIDTH * track.at / max(1, total - 1))
-        seconds = track.clock() - track.entries[0].clock
+        """Return the number and time of the next entry, and a progress bar."""
+        cursor = self.cursor
+        total = len(cursor.entries)
+        filled = round(BAR_WIDTH * cursor.position / max(1, total - 1))
+        seconds = cursor.clock() - cursor.entries[0].clock
         return (
-            f"{self.capture_name}: entry {track.first + track.at} of {track.first} to {track.first + total - 1}, "
-            f"{seconds:.3f} s\n[{'=' * done}{' ' * (BAR_WIDTH - done)}]"
+            f"{self.capture_name}: entry {cursor.first_number + cursor.position} of "
+            f"{cursor.first_number} to {cursor.first_number + total - 1}, "
+            f"{seconds:.3f} s\n[{'=' * filled}{' ' * (BAR_WIDTH - filled)}]"
         )
 
-    def _time_line(self) -> list[str]:
-        """The entries around the next one, one a line, cut to the screen's width."""
-        track = self.track
-        total = len(track.entries)
-        low = max(0, min(track.at - TIME_LINES // 2, total - TIME_LINES))
-        width = max(LEAST_WIDTH, self.size.width - 2)
+    def _timeline(self) -> list[str]:
+        """Return the entries around the next one, one per line, truncated to the width of the screen."""
+        cursor = self.cursor
+        total = len(cursor.entries)
+        first_shown = max(0, min(cursor.position - TIMELINE_LINES // 2, total - TIMELINE_LINES))
+        width = max(MIN_TIMELINE_WIDTH, self.size.width - 2)
         lines = []
-        for number in range(low, min(total, low + TIME_LINES - 1)):
-            text = track.line(number)
+        for position in range(first_shown, min(total, first_shown + TIMELINE_LINES - 1)):
+            text = cursor.summary_line(position)
             shown = text if len(text) <= width else text[: width - 1] + "…"
-            lines.append((">" if number == track.at else " ") + shown)
+            lines.append((">" if position == cursor.position else " ") + shown)
         return lines
--- a/tests/capture/test_format.py
+++ b/tests/capture/test_format.py
@@ -98,7 +98,7 @@
     torn = read_segment(file)
     assert torn.torn_at == end.offset and torn.count() > 60
     file.write_bytes(data + b"more")
-    with pytest.raises(DamagedFileError, match="begins no block"):
+    with pytest.raises(DamagedFileError, match="not the start of a frame"):
         read_segment(file)
 
 
--- a/tests/consensus/test_consensus_wire_format.py
+++ b/tests/consensus/test_consensus_wire_format.py
@@ -1,4 +1,8 @@
-"""Messages and files of the code from before the renaming: read and written byte for byte."""
+"""Tests that messages and state files of an earlier version are read, and written with the same bytes.
+
+The examples were made before identifiers in the code were renamed, so that a rename cannot change the
+formats.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +17,8 @@
 from stepsail.consensus.messages import MessageKind
 from stepsail.consensus.state_file import StateFile
 
-STORED = Path(__file__).parent / "before-names"
-EXAMPLES = json.loads((STORED / "messages.json").read_text())
+EXAMPLE_FOLDER = Path(__file__).parent / "before-names"
+EXAMPLES = json.loads((EXAMPLE_FOLDER / "messages.json").read_text())
 ENTRIES = (LogEntry(3, b""), LogEntry(4, b"change \x00\xff"))
 STATE = PersistentState(
     identity=0,
@@ -74,25 +78,25 @@
 
 
 def test_state_file_with_appended_writes(tmp_path: Path) -> None:
-    shutil.copy(STORED / "order.log", tmp_path / "order.log")
+    shutil.copy(EXAMPLE_FOLDER / "order.log", tmp_path / "order.log")
     assert StateFile(tmp_path).read(99) == PersistentState(
         identity=77,
         current_term=2,
         voted_for=1,
         entries=[LogEntry(1, b"one"), LogEntry(2, b"other")],
     )
-    new = tmp_path / "new"
-    file = StateFile(new)
+    new_folder = tmp_path / "new"
+    file = StateFile(new_folder)
     file.read(77)
     file.write([StateWrite(1, 1, 0)])
     file.write([StateWrite(2, 1, 0, 1, (LogEntry(1, b"one"), LogEntry(1, b"two")))])
     file.write([StateWrite(3, 2, 1)])
     file.write([StateWrite(4, 2, 1, 2, (LogEntry(2, b"other"),))])
-    assert (new / "order.log").read_bytes() == (STORED / "order.log").read_bytes()
+    assert (new_folder / "order.log").read_bytes() == (EXAMPLE_FOLDER / "order.log").read_bytes()
 
 
 def test_state_file_with_a_snapshot(tmp_path: Path) -> None:
-    shutil.copy(STORED / "order-with-snapshot.log", tmp_path / "order.log")
+    shutil.copy(EXAMPLE_FOLDER / "order-with-snapshot.log", tmp_path / "order.log")
     state = PersistentState(
         identity=77,
         current_term=3,
@@ -106,9 +110,11 @@
     )
     after_last_write = msgspec.structs.replace(state, current_term=4, voted_for=0)
     assert StateFile(tmp_path).read(99) == after_last_write
-    new = tmp_path / "new"
-    file = StateFile(new)
+    new_folder = tmp_path / "new"
+    file = StateFile(new_folder)
     file.read(77)
     replacement = msgspec.msgpack.encode(state)
     file.write([StateWrite(5, 3, -1), StateWrite(6, 3, 2, replacement=replacement), StateWrite(7, 4, 0)])
-    assert (new / "order.log").read_bytes() == (STORED / "order-with-snapshot.log").read_bytes()
+    assert (new_folder / "order.log").read_bytes() == (
+        EXAMPLE_FOLDER / "order-with-snapshot.log"
+    ).read_bytes()
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -1,4 +1,7 @@
-"""Raft under drawn faults: one leader a term, one entry an index, no committed entry is lost."""
+"""Tests Raft under random faults.
+
+Each term has at most one leader, each log index at most one committed entry, and no committed entry is lost.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +17,17 @@
 from stepsail.consensus.replica_state import ReplicaState
 from stepsail.standins.raft_cluster import SYNC_DURATION, RaftCluster, SimulatedDisk
 
-ANY_FAULT = range(12)
-CRASHES_AND_SLOW_SYNCS = (0, 1, 2, 4, 4, 5, 5, 6, 8)
+# Numbers of the actions in `RandomFaultRun._step`. With slow disks, only proposals, crashes, restarts and
+# repairs of the network are chosen; an action that is listed twice is twice as likely.
+ALL_ACTIONS = range(12)
+ACTIONS_WITH_SLOW_DISKS = (0, 1, 2, 4, 4, 5, 5, 6, 8)
+
 
+class RandomFaultRun:
+    """Runs a cluster with random faults and proposals, then lets it recover and checks its logs.
 
-class RandomHistory:
-    """Faults and proposals drawn from a seed, then time to recover; `cluster.violations` says what was broken."""
+    `cluster.violations` lists the guarantees that were broken.
+    """
 
     def __init__(self, seed: int, size: int, slow_disks: bool) -> None:
         self.random = Random(f"{seed} history")
@@ -27,7 +35,7 @@
         self.slow_disks = slow_disks
         self.proposals = 0
 
-    def play(self, steps: int) -> RaftCluster:
+    def run(self, steps: int) -> RaftCluster:
         self.cluster.run(4.0)
         if self.slow_disks:
             self.cluster.sync_duration = 0.5
@@ -39,7 +47,7 @@
 
     def _step(self) -> None:
         random, cluster = self.random, self.cluster
-        action = random.choice(CRASHES_AND_SLOW_SYNCS) if self.slow_disks else random.choice(ANY_FAULT)
+        action = random.choice(ACTIONS_WITH_SLOW_DISKS) if self.slow_disks else random.choice(ALL_ACTIONS)
         number = random.randrange(len(cluster.voters))
         replica = cluster.voters[number].replica
         if action < 4:
@@ -60,7 +68,8 @@
             cluster.sync_duration = random.choice([0.0005, 0.05, 0.5])
         elif action == 11 and replica and self._all_joined():
             cluster.crash(number)
-            cluster.lose_storage(number)  # one at a time, as the design says
+            # The protocol tolerates the loss of storage by one voter at a time only.
+            cluster.lose_storage(number)
             cluster.start(number)
 
     def _cut_random_links(self) -> None:
@@ -81,23 +90,23 @@
         cluster.run(12.0)
         leader = cluster.leader()
         if leader is None or cluster.propose(leader, b"the last") is None:
-            cluster.violations.append("nobody leads, with all connected")
+            cluster.violations.append("no voter is the leader, although all links work")
             return
         cluster.run(3.0)
         logs = [voter.applied for voter in cluster.voters.values()]
         if any(log != logs[0] for log in logs) or b"the last" not in logs[0].values():
             cluster.violations.append("not all voters applied the same log in the end")
         if any(logs[0].get(index) != data for index, data in cluster.committed.items()):
-            cluster.violations.append("a committed entry is gone")
+            cluster.violations.append("a committed entry was lost")
 
 
-def played(seed: int, size: int = 3, steps: int = 60, slow: bool = False) -> RaftCluster:
-    return RandomHistory(seed, size, slow).play(steps)
+def run_random_faults(seed: int, size: int = 3, steps: int = 60, slow_disks: bool = False) -> RaftCluster:
+    return RandomFaultRun(seed, size, slow_disks).run(steps)
 
 
 @pytest.mark.parametrize(("seed", "size"), [(1, 3), (2, 3), (3, 3), (4, 5), (5, 5)])
 def test_committed_entries_survive_and_all_voters_apply_the_same_log(seed: int, size: int) -> None:
-    cluster = played(seed, size)
+    cluster = run_random_faults(seed, size)
     assert cluster.violations == [] and len(cluster.committed) >= 5
 
 
@@ -123,7 +132,7 @@
 
 
 @pytest.mark.parametrize(
-    ("of", "name", "broken"),
+    ("target", "method", "replacement"),
     [
         (SimulatedDisk, "sync", sync_without_writing),
         (Outbox, "take_messages", take_unsynced_messages),
@@ -132,27 +141,31 @@
     ],
 )
 def test_fault_injection_finds_a_broken_replica(
-    monkeypatch: pytest.MonkeyPatch, of: type, name: str, broken: Any
+    monkeypatch: pytest.MonkeyPatch, target: type, method: str, replacement: Any
 ) -> None:
-    monkeypatch.setattr(of, name, broken)
-    assert any(played(seed, slow=name == "take_messages").violations for seed in range(1, 120))
+    monkeypatch.setattr(target, method, replacement)
+    assert any(
+        run_random_faults(seed, slow_disks=method == "take_messages").violations for seed in range(1, 120)
+    )
 
 
-def test_minority_commits_nothing_and_majority_goes_on() -> None:
+def test_minority_commits_nothing_and_majority_continues() -> None:
     cluster = RaftCluster(3, 1)
     cluster.run(4.0)
-    old = cluster.leader()
-    assert old is not None
-    cluster.cut_links = {(a, b) for a in range(3) for b in range(3) if a != b and old in (a, b)}
-    assert cluster.propose(old, b"never") is not None
+    old_leader = cluster.leader()
+    assert old_leader is not None
+    cluster.cut_links = {(a, b) for a in range(3) for b in range(3) if a != b and old_leader in (a, b)}
+    assert cluster.propose(old_leader, b"never") is not None
     cluster.run(4.0)
-    new = cluster.leader()
-    assert new is not None and new != old
-    assert cluster.propose(new, b"this") is not None
+    new_leader = cluster.leader()
+    assert new_leader is not None and new_leader != old_leader
+    assert cluster.propose(new_leader, b"this") is not None
     cluster.run(1.0)
     cluster.cut_links = set()
     cluster.run(4.0)
-    assert b"never" not in cluster.committed.values() and b"this" in cluster.voters[old].applied.values()
+    assert (
+        b"never" not in cluster.committed.values() and b"this" in cluster.voters[old_leader].applied.values()
+    )
 
 
 def test_leader_without_responses_steps_down() -> None:
@@ -168,8 +181,8 @@
 def test_invalid_bytes_are_rejected() -> None:
     message = Message(1, MessageKind.JOIN_REQUEST, 1, 5, 0)
     other_version = Message(2, MessageKind.JOIN_REQUEST, 1, 5, 0)
-    whole = encode(message)
-    assert decode(whole) == message
-    for data in (b"", b"\xc1", whole[:-1], whole + b"x", encode(other_version)):
+    encoded = encode(message)
+    assert decode(encoded) == message
+    for data in (b"", b"\xc1", encoded[:-1], encoded + b"x", encode(other_version)):
         with pytest.raises(InvalidMessageError):
             decode(data)
--- a/tests/consensus/test_state_file.py
+++ b/tests/consensus/test_state_file.py
@@ -1,4 +1,4 @@
-"""Stable storage: synced state is read again, an incomplete tail is cut off, damage and full disks are reported."""
+"""Tests that the state file keeps synced state, drops incomplete frames and reports damage and full disks."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return StateFile(folder).read(99)
 
 
-def test_synced_state_is_read_again(tmp_path: Path) -> None:
+def test_synced_state_is_read_back(tmp_path: Path) -> None:
     state = write_all(tmp_path)
     assert (state.identity, state.current_term, state.voted_for, state.entries) == (
         77,
@@ -35,18 +35,26 @@
         1,
         [LogEntry(1, b"one"), LogEntry(2, b"other")],
     )
-    whole = msgspec.structs.replace(state, snapshot_index=2, snapshot_term=2, snapshot=b"all", entries=[])
+    state_with_snapshot = msgspec.structs.replace(
+        state, snapshot_index=2, snapshot_term=2, snapshot=b"all", entries=[]
+    )
     file = StateFile(tmp_path)
     file.read(99)
     file.write(
         [
             StateWrite(5, 3, -1),
-            StateWrite(6, 3, 2, replacement=msgspec.msgpack.encode(whole)),
+            StateWrite(6, 3, 2, replacement=msgspec.msgpack.encode(state_with_snapshot)),
             StateWrite(7, 4, 0),
         ]
     )
-    again = StateFile(tmp_path).read(99)
-    assert (again.snapshot_index, again.snapshot, again.current_term, again.voted_for, again.identity) == (
+    stored_state = StateFile(tmp_path).read(99)
+    assert (
+        stored_state.snapshot_index,
+        stored_state.snapshot,
+        stored_state.current_term,
+        stored_state.voted_for,
+        stored_state.identity,
+    ) == (
         2,
         b"all",
         4,
@@ -57,17 +65,17 @@
 
 def test_file_truncated_at_any_byte_is_the_state_after_some_write(tmp_path: Path) -> None:
     write_all(tmp_path)
-    data, seen = (tmp_path / "order.log").read_bytes(), set()
+    data, states = (tmp_path / "order.log").read_bytes(), set()
     for size in range(len(data) + 1):
         (tmp_path / "order.log").write_bytes(data[:size])
         state = StateFile(tmp_path).read(99)
-        seen.add((state.identity, state.current_term, state.voted_for, len(state.entries)))
+        states.add((state.identity, state.current_term, state.voted_for, len(state.entries)))
         StateFile(tmp_path).write([StateWrite(8, 9, 2)])
-        assert StateFile(tmp_path).read(98).current_term == 9  # and it goes on from there
-    assert seen == {(99, 0, -1, 0), (77, 0, -1, 0), (77, 1, 0, 0), (77, 1, 0, 2), (77, 2, 1, 2)}
+        assert StateFile(tmp_path).read(98).current_term == 9  # later writes are stored
+    assert states == {(99, 0, -1, 0), (77, 0, -1, 0), (77, 1, 0, 0), (77, 1, 0, 2), (77, 2, 1, 2)}
 
 
-def test_damage_is_reported_and_not_taken_for_new_storage(tmp_path: Path) -> None:
+def test_damaged_file_is_reported_and_not_treated_as_new_storage(tmp_path: Path) -> None:
     write_all(tmp_path)
     data = bytearray((tmp_path / "order.log").read_bytes())
     data[60] ^= 1
@@ -80,15 +88,15 @@
     file = StateFile(tmp_path)
     file.read(77)
     file.write(WRITES[:2])
-    before = (tmp_path / "order.log").read_bytes()
+    data_before = (tmp_path / "order.log").read_bytes()
 
-    def full(fd: int) -> None:
+    def fail_with_full_disk(fd: int) -> None:
         raise OSError(28, "No space left on device")
 
     with monkeypatch.context() as patched:
-        patched.setattr("os.fsync", full)
+        patched.setattr("os.fsync", fail_with_full_disk)
         with pytest.raises(OSError, match="No space"):
             file.write(WRITES[2:])
-    assert (tmp_path / "order.log").read_bytes() == before
+    assert (tmp_path / "order.log").read_bytes() == data_before
     file.write(WRITES[2:])
     assert StateFile(tmp_path).read(99).current_term == 2
