--- a/stepsail/fleet/__init__.py
+++ b/stepsail/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""Runs many instances on one machine by one file: starts and watches them, and restarts them in turn."""
+"""Runs many instances on one machine, as described in one file.
+
+Starts and monitors the instances, restarts those that exit, and restarts all of them in turn on request.
+"""
--- a/stepsail/fleet/control_server.py
+++ b/stepsail/fleet/control_server.py
@@ -1,4 +1,4 @@
-"""The control address of a running fleet: its status, and the commands to restart and to stop it."""
+"""HTTP server at the control address of a running fleet: returns its status, restarts it and stops it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from stepsail.loop import Loop, Stream
 
 MAX_CONNECTIONS = 16
-WRITE_TIMEOUT = 0.5  # s for a caller to take a response
-BOUNDS = ConnectionLimits(head_bytes=4096, body_bytes=4096)
+WRITE_TIMEOUT = 0.5  # s within which the client has to receive a response
+LIMITS = ConnectionLimits(head_bytes=4096, body_bytes=4096)
 JSON = (b"content-type", b"application/json")
 EMPTY_OBJECT = b"{}"
 
 
 class ControlServer:
-    """Answers callers on this machine."""
+    """Answers control requests, which come from this machine only."""
 
     def __init__(
         self,
@@ -27,15 +27,22 @@
         restart: Callable[[], None],
         stop: Callable[[], None],
     ) -> None:
-        """Create a server; the callbacks return the status page, begin a rolling restart, and end the fleet."""
+        """Create a server.
+
+        Args:
+            loop: The event loop.
+            status: Returns the status page.
+            restart: Begins a rolling restart.
+            stop: Stops the fleet.
+        """
         self.loop = loop
         self.status = status
         self.restart = restart
         self.stop = stop
 
     def serve(self, stream: Stream) -> None:
-        """Answer the requests of one connection until it ends."""
-        connection = ServerConnection(self.loop, stream, BOUNDS)
+        """Answer the requests on one connection until it is closed."""
+        connection = ServerConnection(self.loop, stream, LIMITS)
         while True:
             try:
                 request = connection.next()
--- a/stepsail/fleet/plan.py
+++ b/stepsail/fleet/plan.py
@@ -1,4 +1,4 @@
-"""A fleet's file: how many instances, by which settings, where each listens; and each instance's own file from it."""
+"""Reads the file of a fleet, and generates the settings file of each of its instances."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 MAX_PORT = 65535
 MS_PER_S = 1000
 LOOPBACK_PREFIX = "127."
-SEED_COUNT = 3  # instances that are named to all as where to find the others
+SEED_COUNT = 3  # instances whose addresses all instances use for joining the membership
 
-FLEET = (
+FLEET_SETTINGS = (
     Setting(
         "umpires",
-        "How many instances, numbered from 0; their zones go by turns.",
+        "Number of instances, which are counted from 0; they are assigned to the zones in rotation.",
         (argument("count", "whole", minimum=1, maximum=1000),),
         required=True,
     ),
-    Setting("zones", "All zones, by name.", (argument("names", "text", variadic=True),), required=True),
+    Setting("zones", "Names of all zones.", (argument("names", "text", variadic=True),), required=True),
     Setting(
         "common",
-        "File of the settings that all instances have in common, beside this one.",
+        "File with the settings that all instances share; relative to the folder of this file.",
         (argument("file", "text"),),
         required=True,
     ),
     Setting(
         "listen",
-        "Where clients reach instance 0; each further one has the next port.",
+        "Address on which clients connect to instance 0; each further instance uses the next port.",
         (argument("address", "address"),),
         required=True,
     ),
-    Setting("conveyor", "Where release control answers.", (argument("address", "address"),), required=True),
+    Setting("conveyor", "Address of release control.", (argument("address", "address"),), required=True),
     Setting(
         "roster",
-        "Where endpoint discovery answers, and whether it is polled or pushes.",
+        "Address of endpoint discovery. asked: it is polled; pushed: it sends changes by itself.",
         (argument("address", "address"), argument("how", "text", enum=["asked", "pushed"])),
         required=True,
     ),
     Setting(
         "view",
-        "Where instance 0 takes part in the membership; each further one has the next port. Absent: there is "
-        "none.",
+        "Address on which instance 0 takes part in the fleet's membership; each further instance uses the "
+        "next port. If absent, there is no membership.",
         (
             argument("address", "address"),
             argument("period", "time", keyword="period", optional=True, **TIME_BOUNDS),
@@ -56,30 +56,33 @@
     ),
     Setting(
         "speak",
-        "Whether instances gossip over the view's ports; in place of 'neighbours'.",
+        "Whether instances gossip over the ports of 'view'; instead of 'neighbours'.",
         (argument("yes", "yes"),),
         default=False,
     ),
     Setting(
         "neighbours",
-        "Where instance 0 receives gossip; each further one has the next port. Absent: there is none.",
+        "Address on which instance 0 receives gossip; each further instance uses the next port. If absent, "
+        "there are no such addresses.",
         (argument("address", "address"),),
     ),
     Setting(
         "folder",
-        "Where settings, logs and cached lists of the instances go, beside this file.",
+        "Folder for the instances' settings, logs and cached endpoint lists; relative to the folder of "
+        "this file.",
         (argument("folder", "text"),),
         default="fleet",
     ),
     Setting(
         "control",
-        "Where the running fleet is controlled; on this machine only.",
+        "Address on which the running fleet is controlled; a loopback address.",
         (argument("address", "address"),),
         required=True,
     ),
     Setting(
         "roll-part",
-        "Share of the instances that may be away at once during a rolling restart; one at least.",
+        "Maximum share of the instances that may be unavailable at a time during a rolling restart; one "
+        "instance is always allowed.",
         (argument("part", "share", **SHARE_BOUNDS),),
         default=0.1,
     ),
@@ -88,23 +91,27 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What a fleet's file says. An address is that of instance 0; each further one has the next port.
+    """Contents of the file of a fleet.
+
+    `listen`, `membership_address` and `gossip_address` are addresses of instance 0; each further instance
+    uses the next port.
 
     Attributes:
-        instance_count: How many instances there are.
-        zones: Names of the zones, which the instances take by turns.
-        common_settings: File of the settings that all have in common.
-        listen: Where clients connect.
-        release_control_address: Where release control answers, to all instances.
-        discovery_address: Where endpoint discovery answers, to all instances.
-        discovery_mode: "asked" or "pushed".
-        membership_address: Where the membership is kept; None: there is none.
-        probe_period: Seconds between two probes of the membership; 0: the usual period.
-        carries_gossip: Whether gossip goes over the membership's ports.
-        gossip_address: Where gossip goes otherwise; None: there is none.
-        folder: Where settings, logs and cached lists go.
-        control_address: Where the running fleet is controlled.
-        max_away_share: Share of the instances that a rolling restart may have away at once.
+        instance_count: Number of instances.
+        zones: Names of the zones, to which the instances are assigned in rotation.
+        common_settings: File with the settings that all instances share.
+        listen: Address on which clients connect.
+        release_control_address: Address of release control, the same for all instances.
+        discovery_address: Address of endpoint discovery, the same for all instances.
+        discovery_mode: "asked": endpoint discovery is polled; "pushed": it sends changes by itself.
+        membership_address: Address for the membership protocol; None: there is no membership.
+        probe_period: Seconds between two probes of the membership protocol; 0: the default period.
+        carries_gossip: Whether gossip is sent over the ports of the membership.
+        gossip_address: Address on which gossip is received otherwise; None: no such address.
+        folder: Folder for settings, logs and cached endpoint lists.
+        control_address: Address on which the running fleet is controlled.
+        max_unavailable_share: Maximum share of the instances that may be unavailable at a time during a
+            rolling restart.
     """
 
     instance_count: int
@@ -120,10 +127,10 @@
     gossip_address: Address | None
     folder: Path
     control_address: Address
-    max_away_share: float
+    max_unavailable_share: float
 
     def listen_address(self, number: int) -> Address:
-        """Return where clients reach an instance."""
+        """Return the address on which clients connect to an instance."""
         return _with_port_offset(self.listen, number)
 
     def zone(self, number: int) -> str:
@@ -131,11 +138,11 @@
         return self.zones[number % len(self.zones)]
 
     def settings_file(self, number: int) -> Path:
-        """Return an instance's settings file."""
+        """Return the path of an instance's settings file."""
         return self.folder / f"umpire-{number}.conf"
 
     def log_file(self, number: int) -> Path:
-        """Return an instance's log."""
+        """Return the path of an instance's log file."""
         return self.folder / f"umpire-{number}.log"
 
     def settings_text(self, number: int) -> str:
@@ -144,9 +151,12 @@
             f"umpire {number} of {self.instance_count}",
             f"zones {' '.join(self.zones)}",
             f"zone {self.zone(number)}",
-            f"listen {_text(self.listen, number)}",
-            f"conveyor {_text(self.release_control_address)}",
-            f"roster {_text(self.discovery_address)} {self.discovery_mode} keep umpire-{number}-roster.json",
+            f"listen {_host_port(self.listen, number)}",
+            f"conveyor {_host_port(self.release_control_address)}",
+            (
+                f"roster {_host_port(self.discovery_address)} {self.discovery_mode} "
+                f"keep umpire-{number}-roster.json"
+            ),
             f"include {json.dumps(str(self.common_settings.resolve()))}",
             *self._membership_lines(number),
             *self._gossip_lines(number),
@@ -158,8 +168,8 @@
             return []
         seeds = range(min(SEED_COUNT, self.instance_count))
         lines = [
-            f"view {_text(self.membership_address, number)} {{",
-            *(f"    seed {_text(self.membership_address, seed)}" for seed in seeds),
+            f"view {_host_port(self.membership_address, number)} {{",
+            *(f"    seed {_host_port(self.membership_address, seed)}" for seed in seeds),
         ]
         if self.probe_period:
             lines.append(f"    period {self.probe_period * MS_PER_S:g}ms")
@@ -171,9 +181,9 @@
         if self.gossip_address is None:
             return []
         return [
-            f"neighbours {_text(self.gossip_address, number)} {{",
+            f"neighbours {_host_port(self.gossip_address, number)} {{",
             *(
-                f"    neighbour {peer} {_text(self.gossip_address, peer)}"
+                f"    neighbour {peer} {_host_port(self.gossip_address, peer)}"
                 for peer in range(self.instance_count)
             ),
             "}",
@@ -181,19 +191,19 @@
 
 
 def read_plan(file: Path) -> FleetPlan:
-    """Read a fleet's file.
+    """Read the file of a fleet.
 
     Raises:
-        InvalidSettings: It has errors; all of them are told.
+        InvalidSettings: The file has errors; the exception lists all of them.
     """
-    tree = SettingsReader(FLEET).read(file)
-    top = with_defaults(FLEET, tree.values)
+    tree = SettingsReader(FLEET_SETTINGS).read(file)
+    top = with_defaults(FLEET_SETTINGS, tree.values)
     _check_ports(tree, top)
     _check_gossip(tree, top)
     _check_control_address(tree, top)
     common_settings = file.parent / top["common"]
     if not common_settings.is_file():
-        tree.add_error(tree.location_of("common"), f"there is no file {top['common']}")
+        tree.add_error(tree.location_of("common"), f"the file {top['common']} does not exist")
     if tree.errors:
         raise InvalidSettings(tree.errors)
     view = top["view"] or {}
@@ -211,13 +221,13 @@
         gossip_address=address_of(top["neighbours"]) if top["neighbours"] else None,
         folder=file.parent / top["folder"],
         control_address=address_of(top["control"]),
-        max_away_share=top["roll-part"],
+        max_unavailable_share=top["roll-part"],
     )
 
 
 @dataclass(frozen=True, slots=True)
 class _PortRange:
-    """The ports that the instances take for one setting."""
+    """The ports that the instances use for one setting."""
 
     setting: str
     host: str
@@ -225,10 +235,13 @@
     last: int
 
     def conflicts_with(self, other: _PortRange) -> bool:
-        """Whether two ranges of datagram ports meet; streams, which clients connect to, have ports of their own."""
-        both_datagrams = {self.setting, other.setting} == {"view", "neighbours"}
+        """Return whether both ranges are UDP ports of the same host and overlap.
+
+        Clients connect by TCP, whose ports are separate from those of UDP.
+        """
+        both_udp = {self.setting, other.setting} == {"view", "neighbours"}
         overlap = self.first <= other.last and other.first <= self.last
-        return both_datagrams and self.host == other.host and overlap
+        return both_udp and self.host == other.host and overlap
 
 
 def _check_ports(tree: SettingsTree, top: dict[str, Any]) -> None:
@@ -240,17 +253,17 @@
         host, first = address_of(value["address"] if isinstance(value, dict) else value)
         ports = _PortRange(setting, host, first, first + top["umpires"] - 1)
         if ports.last > MAX_PORT:
-            message = f"the ports of {top['umpires']} umpires go up to {ports.last}"
+            message = f"{top['umpires']} instances need ports up to {ports.last}; the highest port is 65535"
             tree.add_error(tree.location_of(setting), message)
         for other in ranges:
             if ports.conflicts_with(other):
-                tree.add_error(tree.location_of(setting), f"these ports meet those of '{other.setting}'")
+                tree.add_error(tree.location_of(setting), f"these ports overlap those of '{other.setting}'")
         ranges.append(ports)
 
 
 def _check_gossip(tree: SettingsTree, top: dict[str, Any]) -> None:
     if top["speak"] and (top["neighbours"] or not top["view"]):
-        message = "umpires speak over the view's ports: it needs 'view', and no 'neighbours'"
+        message = "gossip over the ports of 'view' needs 'view', and cannot be combined with 'neighbours'"
         tree.add_error(tree.location_of("speak"), message)
 
 
@@ -258,9 +271,11 @@
     host, port = address_of(top["control"])
     listen_host, listen_port = address_of(top["listen"])
     if host == listen_host and listen_port <= port < listen_port + top["umpires"]:
-        tree.add_error(tree.location_of("control"), "this port is one of the umpires' own")
+        tree.add_error(
+            tree.location_of("control"), "this port is one of the ports on which the instances listen"
+        )
     if not host.startswith(LOOPBACK_PREFIX):
-        message = "only an address of this machine's own (127.0.0.0/8): whoever reaches it may stop the fleet"
+        message = "expected a loopback address (127.0.0.0/8): whoever can connect to it can stop the fleet"
         tree.add_error(tree.location_of("control"), message)
 
 
@@ -269,6 +284,6 @@
     return host, port + offset
 
 
-def _text(address: Address, offset: int = 0) -> str:
+def _host_port(address: Address, offset: int = 0) -> str:
     host, port = _with_port_offset(address, offset)
     return f"{host}:{port}"
--- a/stepsail/fleet/runner.py
+++ b/stepsail/fleet/runner.py
@@ -1,4 +1,4 @@
-"""Runs a fleet: starts and signals processes as the supervisor decides, and asks them whether they are ready."""
+"""Runs a fleet: starts and signals processes as the supervisor decides, and polls their readiness."""
 
 from __future__ import annotations
 
@@ -24,46 +24,46 @@
 from stepsail.loop import Listener, Loop
 from stepsail.proxy.decision_host import Logger
 
-POLL_INTERVAL = 0.1  # s between looks at processes, and between questions to instances
-MAX_PARALLEL_POLLS = 16  # instances asked at once
+POLL_INTERVAL = 0.1  # s between checks of the processes, and between polls of the instances
+MAX_PARALLEL_POLLS = 16  # instances that are polled at a time
 READY_PATH = b"/.stepsail/ready"
 MEMBERSHIP_PATH = b"/.stepsail/fleet"
 HTTP_OK = 200
 EXIT_OK = 0
-EXIT_UNCLEAN = 3  # an instance did not answer all requests, or failed
+EXIT_UNCLEAN = 3  # an instance failed or did not answer all requests
 
 
 class FleetRunner:
-    """One fleet of processes.
+    """Runs the processes of one fleet.
 
     Attributes:
-        supervisor: Decides what is done to which process.
-        processes: Those that run, by the number of their instance.
-        memberships: What the instances show of their membership, by number; only those that answered last time.
+        supervisor: Decides which processes are started, stopped or killed.
+        processes: The running processes, by instance number.
+        memberships: Membership pages of the instances that answered the last poll, by instance number.
     """
 
     def __init__(
         self, loop: Loop, plan: FleetPlan, log: Logger, command: Sequence[str] | None = None
     ) -> None:
-        """Create a fleet; `command` starts an instance in place of this program's own."""
+        """Create a fleet; `command` replaces the command line that starts an instance, `stepsail umpire`."""
         self.loop = loop
         self.plan = plan
         self.log = log
         self.command = list(command or (sys.executable, "-m", "stepsail", "umpire"))
         seed = int.from_bytes(os.urandom(4), "big")
-        self.supervisor = Supervisor(plan.instance_count, plan.max_away_share, seed, loop.now())
+        self.supervisor = Supervisor(plan.instance_count, plan.max_unavailable_share, seed, loop.now())
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
         self.memberships: dict[int, dict[str, Any]] = {}
         self.logged_halt_reason = ""
 
     def run(self) -> int:
-        """Run until told to stop, by a signal or at the control address.
+        """Run until the fleet is stopped by a signal or at the control address.
 
         Returns:
-            EXIT_OK if every instance ended cleanly, else EXIT_UNCLEAN.
+            EXIT_UNCLEAN if the last exit code of any instance is not 0, else EXIT_OK.
 
         Raises:
-            OSError: The folder or the control address cannot be had.
+            OSError: The folder cannot be created, or the control address cannot be listened on.
         """
         self.plan.folder.mkdir(parents=True, exist_ok=True)
         listener = Listener(self.loop, self.plan.control_address, MAX_CONNECTIONS)
@@ -167,25 +167,25 @@
         )
 
     def _kill_processes(self) -> None:
-        """Kill what still runs: whatever ends this process ends those that it started."""
+        """Kill the processes that still run, so that none outlives this one, whatever ends it."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
                 process.wait()
 
     def _poll_instances(self) -> NoReturn:
-        """For ever: ask the instances whether they are ready, and for their membership."""
+        """Poll the readiness and the membership of the instances, until cancelled."""
         while True:
             numbers = list(self.processes)
             tasks = [
-                self.loop.spawn(self._poll_some, numbers[first::MAX_PARALLEL_POLLS], name="ask")
-                for first in range(MAX_PARALLEL_POLLS)
+                self.loop.spawn(self._poll_in_sequence, numbers[offset::MAX_PARALLEL_POLLS], name="ask")
+                for offset in range(MAX_PARALLEL_POLLS)
             ]
             for task in tasks:
                 task.join()
             self.loop.sleep(POLL_INTERVAL)
 
-    def _poll_some(self, numbers: list[int]) -> None:
+    def _poll_in_sequence(self, numbers: list[int]) -> None:
         for number in numbers:
             try:
                 self._poll_instance(number)
@@ -200,5 +200,5 @@
             self.supervisor.instance_ready(number, self.loop.now())
             self.log.info("instance_ready", instance=number)
         if self.plan.membership_address and instance.state is InstanceState.READY:
-            page = request_once(self.loop, address, MEMBERSHIP_PATH).body
-            self.memberships[number] = msgspec.json.decode(page)["view"]
+            body = request_once(self.loop, address, MEMBERSHIP_PATH).body
+            self.memberships[number] = msgspec.json.decode(body)["view"]
--- a/stepsail/fleet/supervisor.py
+++ b/stepsail/fleet/supervisor.py
@@ -1,6 +1,6 @@
-"""Decides which instance of a fleet is started, told to stop or killed, and when.
+"""Decides which instances of a fleet are started, stopped or killed, and when.
 
-No I/O: time is an argument, and chance comes from a seed.
+Does no I/O: time is an argument, and randomness comes from a seed.
 """
 
 from __future__ import annotations
@@ -10,28 +10,32 @@
 from math import inf
 from zlib import crc32
 
-FIRST_BACKOFF = 0.5  # s from an unexpected exit to the next start
-MAX_BACKOFF = 30.0  # s; the backoff doubles up to it
-JITTER = 0.5  # share of a backoff that chance takes off, so that those that died together start apart
-STABLE_AFTER = 20.0  # s that an instance has to be ready until its next exit counts as a first one
-START_TIMEOUT = 30.0  # s from a start until an instance has to be ready, else it is killed and started again
-STOP_TIMEOUT = 20.0  # s from the stop signal to a kill; longer than an instance's usual shutdown timeout
-MAX_DOUBLINGS = 16
-ROUNDING = 1e-9  # keeps a share such as 0.1 of 10 from being rounded down to none
+FIRST_BACKOFF = 0.5  # s from the first unexpected exit to the next start
+MAX_BACKOFF = 30.0  # s, to which the backoff doubles
+# Largest share of a backoff that jitter removes, so that instances that exit together do not start together.
+JITTER = 0.5
+# Seconds for which an instance has to be ready for its next unexpected exit to count as the first one again.
+STABLE_AFTER = 20.0
+# Seconds from its start within which an instance has to be ready; otherwise it is killed and started again.
+START_TIMEOUT = 30.0
+# Seconds from the stop signal to the kill; longer than an instance's usual shutdown timeout.
+STOP_TIMEOUT = 20.0
+MAX_DOUBLINGS = 16  # limits the exponent of the backoff
+ROUNDING_TOLERANCE = 1e-9  # keeps floating-point error from rounding a product such as 0.1 * 10 down to 0
 
 
 class InstanceState(Enum):
-    """What an instance is doing. The values are part of the status page."""
+    """States of an instance. The values are part of the status page."""
 
-    WAITING = "waiting"  # to be started when its next action is due
+    WAITING = "waiting"  # is started at `next_action_at`
     STARTING = "starting"
     READY = "ready"
     STOPPING = "leaving"
-    STOPPED = "stopped"  # and not to be started again
+    STOPPED = "stopped"  # and is not started again
 
 
 class ProcessAction(Enum):
-    """What is to be done to a process."""
+    """Actions on a process."""
 
     START = "start"
     STOP = "stop"
@@ -40,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceAction:
-    """An action on one instance."""
+    """An action on the process of one instance."""
 
     number: int
     action: ProcessAction
@@ -48,17 +52,17 @@
 
 @dataclass(slots=True)
 class SupervisedInstance:
-    """One instance. Times are in seconds on the supervisor's clock.
+    """One instance of the fleet. Times are in seconds on the caller's clock.
 
     Attributes:
-        number: Its number in the fleet, from 0.
-        state: What it is doing.
-        since: Since when it is in this state.
-        next_action_at: When the next action on it is due; infinite while there is none.
-        exits_in_a_row: Unexpected exits since it was stable.
-        starts: How often it was started.
-        exit_code: Of its latest exit.
-        restarted: Whether the rolling restart under way has restarted it; true where there is none.
+        number: Number of the instance, from 0.
+        state: Current state.
+        since: Time at which it entered the state.
+        next_action_at: Time of the next action on it; infinite if none is scheduled.
+        exits_in_a_row: Consecutive unexpected exits without a stable run (STABLE_AFTER) in between.
+        starts: Number of times that it was started.
+        exit_code: Exit code of its last exit; None if it has not exited yet.
+        restarted: Whether the current rolling restart is done with it; true if there is no rolling restart.
     """
 
     number: int
@@ -71,34 +75,37 @@
     restarted: bool = True
 
     def enter(self, state: InstanceState, now: float, next_action_at: float = inf) -> None:
-        """Change the state."""
+        """Change the state, and schedule the next action."""
         self.state = state
         self.since = now
         self.next_action_at = next_action_at
 
 
 class Supervisor:
-    """All instances of one fleet. The caller reports what happens, asks for `due_actions`, and carries them out.
+    """Tracks all instances of one fleet and decides on the actions.
+
+    The caller reports what happens to processes, calls `due_actions`, and carries out the actions.
 
     Attributes:
-        instances: By number.
-        stopping: Whether the fleet is to end.
-        halt_reason: Why the last rolling restart was given up; empty if it was not.
+        instances: The instances, by number.
+        stopping: Whether the fleet is being stopped.
+        halt_reason: Why the last rolling restart was halted; empty if it was not.
     """
 
-    def __init__(self, count: int, max_away_share: float, seed: int, now: float) -> None:
-        """Create a fleet that is to be started.
+    def __init__(self, count: int, max_unavailable_share: float, seed: int, now: float) -> None:
+        """Create a fleet whose instances are all due to be started.
 
         Args:
-            count: How many instances it has.
-            max_away_share: Share of them that a rolling restart may have away at once; one at least.
+            count: Number of instances.
+            max_unavailable_share: Maximum share of the instances that may be unavailable at a time during a
+                rolling restart; one instance is always allowed.
             seed: Seed of the jitter.
-            now: The time.
+            now: Current time (s).
         """
         self.instances = [
             SupervisedInstance(number, since=now, next_action_at=now) for number in range(count)
         ]
-        self.max_away_share = max_away_share
+        self.max_unavailable_share = max_unavailable_share
         self.seed = seed
         self.draws = 0
         self.stopping = False
@@ -106,22 +113,22 @@
 
     @property
     def restarting(self) -> bool:
-        """Whether a rolling restart is under way."""
+        """Whether a rolling restart is in progress."""
         return any(not instance.restarted for instance in self.instances)
 
     @property
     def finished(self) -> bool:
-        """Whether the fleet has ended."""
+        """Whether the fleet was stopped and all its instances have exited."""
         return self.stopping and all(instance.state is InstanceState.STOPPED for instance in self.instances)
 
     def next_action_at(self) -> float:
-        """Return when the next action is due; infinite if none is."""
+        """Return the time of the next scheduled action; infinite if there is none."""
         return min((instance.next_action_at for instance in self.instances), default=inf)
 
     def due_actions(self, now: float) -> list[InstanceAction]:
-        """Return the actions that are due; each is returned once."""
+        """Return the actions that are due; each action is returned once."""
         actions = [
-            InstanceAction(instance.number, self._take_action(instance, now))
+            InstanceAction(instance.number, self._start_or_kill(instance, now))
             for instance in self.instances
             if now >= instance.next_action_at
         ]
@@ -130,13 +137,17 @@
         return actions
 
     def instance_ready(self, number: int, now: float) -> None:
-        """An instance has reported that it is ready."""
+        """Record that an instance is ready."""
         instance = self.instances[number]
         if instance.state is InstanceState.STARTING:
             instance.enter(InstanceState.READY, now)
 
     def instance_exited(self, number: int, exit_code: int, now: float) -> None:
-        """A process has ended: one that was told to stop is started again at once, others after a backoff."""
+        """Record that the process of an instance has exited, and schedule its next start.
+
+        An instance that was stopped is started again at once, an instance that exited unexpectedly after a
+        backoff, and none if the fleet is being stopped.
+        """
         instance = self.instances[number]
         instance.exit_code = exit_code
         if self.stopping:
@@ -155,7 +166,7 @@
             instance.restarted = False
 
     def stop_all(self, now: float) -> list[InstanceAction]:
-        """End the fleet; the actions on those that run."""
+        """Stop the fleet, and return the actions on the instances that run."""
         self.stopping = True
         actions: list[InstanceAction] = []
         for instance in self.instances:
@@ -166,33 +177,38 @@
                 instance.enter(InstanceState.STOPPED, now)
         return actions
 
-    def _take_action(self, instance: SupervisedInstance, now: float) -> ProcessAction:
-        """Start an instance that waits; kill one whose time to get ready, or to stop, is over."""
+    def _start_or_kill(self, instance: SupervisedInstance, now: float) -> ProcessAction:
+        """Start a waiting instance; kill an instance that exceeded START_TIMEOUT or STOP_TIMEOUT."""
         if instance.state is InstanceState.WAITING:
             instance.enter(InstanceState.STARTING, now, now + START_TIMEOUT)
             instance.starts += 1
             return ProcessAction.START
-        instance.next_action_at = now + STOP_TIMEOUT  # one that a kill does not end is killed again
+        instance.next_action_at = now + STOP_TIMEOUT  # if it has not exited by then, it is killed again
         if instance.state is InstanceState.STARTING:
-            self._halt_restart(f"umpire {instance.number} was not ready {START_TIMEOUT:g} s after its start")
+            self._halt_restart(
+                f"instance {instance.number} was not ready {START_TIMEOUT:g} s after its start"
+            )
         return ProcessAction.KILL
 
     def _continue_restart(self, now: float) -> list[InstanceAction]:
-        """Stop the next instances, as far as the share that may be away allows, whyever others are away."""
-        away = sum(instance.state is not InstanceState.READY for instance in self.instances)
-        max_away = max(1, int(self.max_away_share * len(self.instances) + ROUNDING))
+        """Stop the next instances, as many as `max_unavailable_share` allows.
+
+        Every instance that is not ready counts as unavailable, whatever the reason.
+        """
+        unavailable = sum(instance.state is not InstanceState.READY for instance in self.instances)
+        max_unavailable = max(1, int(self.max_unavailable_share * len(self.instances) + ROUNDING_TOLERANCE))
         pending = [
             instance
             for instance in self.instances
             if not instance.restarted and instance.state is InstanceState.READY
         ]
         actions: list[InstanceAction] = []
-        for instance in pending[: max(0, max_away - away)]:
+        for instance in pending[: max(0, max_unavailable - unavailable)]:
             instance.restarted = True
             actions.append(self._stop(instance, now))
         for instance in self.instances:
             if instance.state in (InstanceState.WAITING, InstanceState.STARTING):
-                instance.restarted = True  # it comes up by the new settings anyway
+                instance.restarted = True  # it is starting with the new settings anyway
         return actions
 
     def _halt_restart(self, reason: str) -> None:
@@ -207,10 +223,10 @@
         return InstanceAction(instance.number, ProcessAction.STOP)
 
     def _backoff(self, exits_in_a_row: int) -> float:
-        """Return the pause before the next start, so that instances that cannot start take no whole core."""
-        longest = min(MAX_BACKOFF, FIRST_BACKOFF * 2.0 ** min(MAX_DOUBLINGS, exits_in_a_row - 1))
-        return longest * (1 - JITTER * self._chance())
+        """Return the delay before the next start, which keeps failing starts from using a whole core."""
+        max_delay = min(MAX_BACKOFF, FIRST_BACKOFF * 2.0 ** min(MAX_DOUBLINGS, exits_in_a_row - 1))
+        return max_delay * (1 - JITTER * self._draw())
 
-    def _chance(self) -> float:
+    def _draw(self) -> float:
         self.draws += 1
         return crc32(b"%d.%d" % (self.seed, self.draws)) / 2**32
--- a/stepsail/policy/__init__.py
+++ b/stepsail/policy/__init__.py
@@ -1,4 +1,7 @@
-"""A change of policy as a two-phase commit over a replicated log: all instances take it or none does. No I/O."""
+"""Policy changes as a two-phase commit over a replicated log.
+
+Either all instances apply a change or none does. The package does no I/O.
+"""
 
 from stepsail.policy.coordinator import PolicyCoordinator
 from stepsail.policy.messages import InvalidMessageError, Message, decode, encode
--- a/stepsail/policy/commands.py
+++ b/stepsail/policy/commands.py
@@ -1,4 +1,7 @@
-"""Commands in the replicated log. Their tags and encoded field names are part of the stored log."""
+"""Defines the commands in the replicated log.
+
+Their tags and encoded field names are part of the stored log.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,15 @@
 
 
 class Propose(msgspec.Struct, frozen=True, tag="change"):
-    """Propose a policy under the next version. `timeout`: s until it is aborted; 0 for the default."""
+    """Proposes a policy under the next version.
+
+    Attributes:
+        version: Version of the policy.
+        text: Text of the policy.
+        author: Who proposed it.
+        reason: Why it was proposed.
+        timeout: Seconds until the proposal is aborted; 0: DEFAULT_PROPOSAL_TIMEOUT.
+    """
 
     version: int = msgspec.field(name="number")
     text: str
@@ -16,20 +27,20 @@
 
 
 class Commit(msgspec.Struct, frozen=True, tag="decide"):
-    """Put the pending proposal into force: every member has prepared it."""
+    """Puts the pending proposal into force, after every member has prepared it."""
 
     version: int = msgspec.field(name="number")
 
 
 class Abort(msgspec.Struct, frozen=True, tag="give up"):
-    """End the pending proposal without effect."""
+    """Ends the pending proposal without putting it into force."""
 
     version: int = msgspec.field(name="number")
     reason: str = msgspec.field(name="why")
 
 
 class AdmitMember(msgspec.Struct, frozen=True, tag="admit"):
-    """Let a process accept requests; an earlier incarnation of its instance is replaced."""
+    """Allows a process to accept requests; it replaces an earlier incarnation of its instance."""
 
     instance: int = msgspec.field(name="number")
     incarnation: int = msgspec.field(name="start")
@@ -38,14 +49,17 @@
 
 
 class RemoveMember(msgspec.Struct, frozen=True, tag="strike"):
-    """Remove a process that has ended."""
+    """Removes a process that accepts no more requests from the members."""
 
     instance: int = msgspec.field(name="number")
     incarnation: int = msgspec.field(name="start")
 
 
 class AdmitVoter(msgspec.Struct, frozen=True, tag="files"):
-    """Let a voter vote under a new storage identity; carried out by consensus, not by the state machine."""
+    """Allows a voter to vote under a new storage identity.
+
+    The consensus replica carries out this command; the state machine ignores it.
+    """
 
     voter: int = msgspec.field(name="keeper")
     identity: int = msgspec.field(name="files")
@@ -57,10 +71,10 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the data of a log entry."""
+    """Encode a command as the data of a log entry."""
     return msgspec.msgpack.encode(command)
 
 
 def decode_command(data: bytes) -> Command | None:
-    """Parse the data of a log entry; None for the empty entry that begins a leader's term."""
+    """Parse the data of a log entry; return None for the empty entry that begins a leader's term."""
     return DECODER.decode(data) if data else None
--- a/stepsail/policy/coordinator.py
+++ b/stepsail/policy/coordinator.py
@@ -1,4 +1,8 @@
-"""A voter's side of a change of policy: answers participants; while it leads, it coordinates the two-phase commit."""
+"""The voter's side of policy changes.
+
+Every voter answers the status requests of participants. The voter that leads the consensus group also
+coordinates the two-phase commit.
+"""
 
 from __future__ import annotations
 
@@ -22,18 +26,18 @@
 
 
 class PolicyCoordinator:
-    """One voter's coordinator.
+    """The coordinator of one voter.
 
     Attributes:
-        append: Appends data to the replicated log; returns None where this voter does not lead.
-        is_leader: Whether this voter coordinates the pending proposal.
-        proposal_version: The proposal that this leader coordinates; 0 without one.
-        abort_at: When the proposal times out (s).
-        prepare_at: When members that have not prepared are asked again (s).
-        next_timeout: When `tick` is due (s).
-        prepared: Instance and incarnation of the members that have prepared the proposal.
-        outcome_proposed: Whether the commit or abort is in the log and not committed yet.
-        waiting_members: By instance, processes that are admitted once the proposal is finished.
+        append: Appends data to the replicated log and returns its index; None if this voter does not lead.
+        is_leader: Whether this voter is the leader, which coordinates the pending proposal.
+        proposal_version: Version of the proposal that this voter coordinates; 0 if there is none.
+        abort_at: Time at which the proposal is aborted (s).
+        prepare_at: Time of the next PREPARE to the members that have not prepared the proposal (s).
+        next_timeout: Time by which `tick` has to be called (s).
+        prepared: Instance number and incarnation of each member that has prepared the proposal.
+        outcome_proposed: Whether the commit or abort has been appended to the log and is not applied yet.
+        deferred_admissions: Admissions that are appended after the proposal is finished, by instance number.
     """
 
     def __init__(self, state_machine: PolicyStateMachine, append: Callable[[bytes], int | None]) -> None:
@@ -46,11 +50,14 @@
         self.next_timeout = inf
         self.prepared: set[tuple[int, int]] = set()
         self.outcome_proposed = False
-        self.waiting_members: dict[int, AdmitMember] = {}
+        self.deferred_admissions: dict[int, AdmitMember] = {}
         self.messages: list[tuple[Address, Message]] = []
 
     def update(self, is_leader: bool, now: float) -> None:
-        """Follow a change of leadership or of the state machine; a new leader starts the proposal's timeout anew."""
+        """React to a change of leadership or of the state machine.
+
+        A new leader restarts the timeout of the proposal.
+        """
         if is_leader != self.is_leader:
             self.is_leader = is_leader
             self.proposal_version = 0
@@ -68,16 +75,16 @@
         elif self.proposal_version != pending.version:
             self._begin_proposal(pending, now)
         if self.is_leader and pending is None:
-            for command in self.waiting_members.values():
+            for command in self.deferred_admissions.values():
                 self._append(command)
-            self.waiting_members.clear()
+            self.deferred_admissions.clear()
         self._commit_if_prepared()
         self.next_timeout = min(self.prepare_at, self.abort_at)
 
     def propose(self, text: str, author: str, reason: str, timeout: float = 0.0) -> int | None:
         """Propose the next policy and return its version.
 
-        Returns None where this voter does not lead or another proposal is pending.
+        Returns None if this voter is not the leader or another proposal is pending.
         """
         state = self.state_machine.state
         if not self.is_leader or state.pending:
@@ -86,7 +93,7 @@
         return proposal.version if self._append(proposal) else None
 
     def tick(self, now: float) -> None:
-        """Ask members that have not prepared; abort a proposal that has timed out."""
+        """Send PREPARE to members that have not prepared the proposal; abort it if it has timed out."""
         pending = self.state_machine.state.pending
         if self.is_leader and pending and not self.outcome_proposed:
             if now >= self.abort_at:
@@ -102,7 +109,11 @@
             self.next_timeout = min(self.prepare_at, self.abort_at)
 
     def receive(self, message: Message) -> None:
-        """Handle a participant's message."""
+        """Handle a message of a participant.
+
+        Only a status request may come from a process that is not a member. Other messages of such a process
+        are dropped, and so are answers about another proposal than the current one.
+        """
         if message.kind is MessageKind.STATUS_REQUEST:
             self._answer_status(message)
             return
@@ -120,13 +131,13 @@
             self._propose_outcome(Abort(message.policy_version, reason))
 
     def take_messages(self) -> list[tuple[Address, Message]]:
-        """Return the messages to send, each with its receiver's address."""
+        """Return the messages to send, each with the address of its receiver, and clear the outbox."""
         messages = self.messages
         self.messages = []
         return messages
 
     def unprepared_members(self) -> list[int]:
-        """Members that have not prepared the proposal, as far as this coordinator knows."""
+        """Return the instance numbers of the members whose PREPARED has not been received."""
         return [
             instance
             for instance, member in sorted(self.state_machine.members.items())
@@ -160,21 +171,33 @@
         return self.append(encode_command(command)) is not None
 
     def _answer_status(self, request: Message) -> None:
-        """Answer from the state machine. It may be behind, but an outcome that it knows is final."""
+        """Answer a status request from this voter's state machine.
+
+        The state machine may lag behind those of other voters, but any outcome in it is final.
+        """
         state = self.state_machine.state
-        back = (request.host, request.port)
+        sender_address = (request.host, request.port)
         incarnation = self.state_machine.incarnation_of(request.instance)
         if incarnation < request.incarnation:
             self._admit(AdmitMember(request.instance, request.incarnation, request.host, request.port))
         elif incarnation > request.incarnation:
-            self._send(back, MessageKind.STALE_INCARNATION, request.instance, incarnation)
+            self._send(sender_address, MessageKind.STALE_INCARNATION, request.instance, incarnation)
         elif request.policy_version == 0:
-            self._send(back, MessageKind.ADMITTED, request.instance, incarnation, state.version, state.text)
+            self._send(
+                sender_address, MessageKind.ADMITTED, request.instance, incarnation, state.version, state.text
+            )
         elif state.version >= request.policy_version:
-            self._send(back, MessageKind.COMMITTED, request.instance, incarnation, state.version, state.text)
+            self._send(
+                sender_address,
+                MessageKind.COMMITTED,
+                request.instance,
+                incarnation,
+                state.version,
+                state.text,
+            )
         elif self.state_machine.outcome(request.policy_version) is False:
             self._send(
-                back,
+                sender_address,
                 MessageKind.ABORTED,
                 request.instance,
                 incarnation,
@@ -184,14 +207,17 @@
             )
 
     def _admit(self, command: AdmitMember) -> None:
-        """Append the admission now, or once the pending proposal is finished."""
+        """Append an admission now or, if a proposal is pending, after it is finished.
+
+        Only the leader does so.
+        """
         if self.is_leader and self.state_machine.state.pending is None:
             self._append(command)
         elif self.is_leader:
-            self.waiting_members[command.instance] = command
+            self.deferred_admissions[command.instance] = command
 
     def _announce_outcome(self, version: int) -> None:
-        """Tell all members the outcome; one that does not hear it asks."""
+        """Send the outcome to all members; a member that does not receive it asks for it."""
         state = self.state_machine.state
         committed = self.state_machine.outcome(version)
         for instance in sorted(self.state_machine.members):
@@ -206,12 +232,12 @@
         self, kind: MessageKind, instance: int, policy_version: int, text: str, committed_version: int = 0
     ) -> None:
         member = self.state_machine.members[instance]
-        to = (member.host, member.port)
-        self._send(to, kind, instance, member.incarnation, policy_version, text, committed_version)
+        address = (member.host, member.port)
+        self._send(address, kind, instance, member.incarnation, policy_version, text, committed_version)
 
     def _send(
         self,
-        to: Address,
+        address: Address,
         kind: MessageKind,
         instance: int,
         incarnation: int,
@@ -228,4 +254,4 @@
             text,
             committed_version=committed_version,
         )
-        self.messages.append((to, message))
+        self.messages.append((address, message))
--- a/stepsail/policy/messages.py
+++ b/stepsail/policy/messages.py
@@ -1,6 +1,7 @@
-"""Messages between participants and coordinators, as versioned msgpack arrays.
+"""Encodes the messages between participants and coordinators as versioned msgpack arrays.
 
-The network may lose, duplicate, delay and reorder them. The order of fields and the values of kinds are wire format.
+The network may lose, duplicate, delay and reorder messages. The order of the fields and the values of
+`MessageKind` are part of the wire format.
 """
 
 from __future__ import annotations
@@ -18,36 +19,39 @@
 
 
 class MessageKind(IntEnum):
-    """What a participant asks or answers, and what a voter or the coordinator tells it."""
+    """Kinds of messages, from participants to voters and from voters to participants."""
 
-    STATUS_REQUEST = 0  # admit me; from an admitted one: what is the outcome of this proposal?
-    ADMITTED = 1  # with the policy in force
-    STALE_INCARNATION = 2  # ask again with an incarnation above this one
+    # From a participant that is not admitted yet: a request for admission. From an admitted one: a request
+    # for the outcome of the proposal `policy_version`.
+    STATUS_REQUEST = 0
+    ADMITTED = 1  # carries the policy in force
+    STALE_INCARNATION = 2  # the participant has to ask again with a higher incarnation than this one
     PREPARE = 3
     PREPARED = 4
-    REFUSED = 5  # the participant cannot use the policy; `text` says why
+    REFUSED = 5  # the participant cannot use the policy; `text` is the reason
     COMMITTED = 6
     ABORTED = 7
     LEAVE = 8  # the participant accepts no more requests
 
 
 class InvalidMessageError(Exception):
-    """The bytes are no message of this version, or a field is out of bounds."""
+    """The bytes are not a message of this format version, or a field is out of bounds."""
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """One message.
+    """One message between a participant and a voter.
 
     Attributes:
         version: Version of the message format.
-        kind: What is asked or answered.
-        instance: The participant that sends or receives the message.
-        incarnation: When that process started (ms).
-        policy_version: The version that the message is about; 0 in a request to be admitted.
-        text: The policy's text, or the reason of a refusal.
-        host: Where the participant is reached.
-        port: Where the participant is reached.
-        committed_version: In ABORTED, the version in force, whose text is in `text`.
+        kind: Kind of the message.
+        instance: Instance number of the participant that sends or receives the message.
+        incarnation: Incarnation of that participant's process: its start time (ms), or a higher number if
+            an earlier process of the instance had that one. In STALE_INCARNATION: the admitted incarnation.
+        policy_version: Version of the policy that the message refers to; 0 in a request for admission.
+        text: Text of the policy; in REFUSED, the reason of the refusal.
+        host: Host of the participant's address.
+        port: Port of the participant's address.
+        committed_version: In ABORTED: the version of the policy in force, whose text is in `text`.
     """
 
     version: Annotated[int, msgspec.Meta(ge=VERSION, le=VERSION)]
@@ -65,15 +69,15 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the datagram body for `message`."""
+    """Encode a message as the body of a datagram."""
     return msgspec.msgpack.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Parse a datagram body.
+    """Parse the body of a datagram.
 
     Raises:
-        InvalidMessageError: The bytes are not a valid message of this version.
+        InvalidMessageError: The bytes are not a valid message of this format version.
     """
     try:
         return DECODER.decode(data)
--- a/stepsail/policy/participant.py
+++ b/stepsail/policy/participant.py
@@ -1,4 +1,4 @@
-"""An instance's side of a change of policy: under which policy it may accept a request, if under any."""
+"""The instance's side of policy changes: decides under which policy it may accept a request, if any."""
 
 from __future__ import annotations
 
@@ -23,24 +23,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedPolicy:
-    """A policy that the participant has prepared, and whose outcome it does not know."""
+    """A policy that the participant has prepared without knowing yet whether it is committed or aborted."""
 
     version: int
     text: str
 
 
 class PolicyParticipant:
-    """One process's policy. Time is an argument.
+    """The policy of one process. It does no I/O; time is an argument.
 
     Attributes:
-        voters: Whom it asks, in turn.
-        validate: Says why a policy's text cannot be used here; empty if it can.
-        incarnation: Above that of any earlier process of the instance; raised until the process is admitted.
-        version: The policy in use.
-        text: Its text.
-        prepared: The policy that may replace it, if any.
-        valid_until: By its own clock, when the policy in use expires unless the outcome is learned (s).
-        next_timeout: When `tick` is due (s).
+        voters: Instance numbers of the voters to which requests are sent in turn.
+        validate: Returns the reason why this instance cannot use a policy's text; empty if it can.
+        incarnation: Number that has to be higher than that of any earlier process of the instance; it is
+            raised until the process is admitted.
+        version: Version of the policy in use.
+        text: Text of the policy in use.
+        prepared: The prepared policy, which may replace the one in use; None if there is none.
+        valid_until: Time on this process's clock at which the policy in use expires unless the outcome of the
+            prepared one is learned before (s).
+        next_timeout: Time by which `tick` has to be called (s).
     """
 
     def __init__(
@@ -73,23 +75,24 @@
         self.messages: list[tuple[int, Message]] = []
 
     def version_at(self, now: float) -> int | None:
-        """Version under which a request may be accepted now; None under none.
+        """Return the version under which a request may be accepted now; None if no policy is valid.
 
-        A clock that steps back does not make an expired policy valid again.
+        An expired policy does not become valid again if the clock is set back.
         """
         self.now = max(self.now, now)
         valid = self.admitted and not self.left and self.now < self.valid_until
         return self.version if valid else None
 
     def retry_after(self, now: float) -> float:
-        """Seconds after which a rejected client may try again."""
+        """Return the seconds after which a rejected client may try again."""
         return max(MIN_RETRY_INTERVAL, self.retry_at - now)
 
     def tick(self, now: float) -> None:
-        """Ask to be admitted, or for the outcome of the prepared policy, if a request is due."""
+        """Request admission, or the outcome of the prepared policy, if a request is due."""
         if self._waits_for_answer() and now >= self.retry_at:
-            # Only a leader can admit a process, so the request to be admitted goes to all voters. A process that was
-            # admitted without hearing of it may have prepared a policy already: it asks for its admission first.
+            # Only the leader can admit a process, so requests for admission go to all voters. A process that
+            # missed its ADMITTED may have prepared a policy already. It requests admission first, and the
+            # outcome afterwards.
             if self.admitted:
                 self._request_status(self.prepared.version if self.prepared else 0)
             else:
@@ -100,7 +103,7 @@
         self.next_timeout = self.retry_at if self._waits_for_answer() else inf
 
     def receive(self, message: Message, voter: int, now: float) -> None:
-        """Handle a voter's message; one for another incarnation or with older knowledge is ignored."""
+        """Handle a message of a voter; ignore it if it is for another incarnation or has outdated content."""
         self.now = max(self.now, now)
         if message.instance != self.instance or self.left:
             return
@@ -121,13 +124,13 @@
         self.tick(self.now)
 
     def leave(self) -> None:
-        """Accept no more requests, and tell all voters."""
+        """Stop accepting requests, and send LEAVE to all voters."""
         self.left = True
         for _ in self.voters:
-            self._send(MessageKind.LEAVE, self._take_voter())
+            self._send(MessageKind.LEAVE, self._pick_voter())
 
     def take_messages(self) -> list[tuple[int, Message]]:
-        """Return the messages to send, each with the voter that receives it."""
+        """Return the messages to send, each with the voter that receives it, and clear the outbox."""
         messages = self.messages
         self.messages = []
         return messages
@@ -135,13 +138,13 @@
     def _waits_for_answer(self) -> bool:
         return not self.left and (not self.admitted or self.prepared is not None)
 
-    def _take_voter(self) -> int:
+    def _pick_voter(self) -> int:
         voter = self.voters[self.next_voter % len(self.voters)]
         self.next_voter += 1
         return voter
 
     def _request_status(self, policy_version: int) -> None:
-        self._send(MessageKind.STATUS_REQUEST, self._take_voter(), policy_version)
+        self._send(MessageKind.STATUS_REQUEST, self._pick_voter(), policy_version)
 
     def _send(self, kind: MessageKind, voter: int, policy_version: int = 0, text: str = "") -> None:
         message = Message(
@@ -150,10 +153,10 @@
         self.messages.append((voter, message))
 
     def _prepare(self, message: Message, voter: int) -> None:
-        """Prepare the proposed policy and tell the coordinator.
+        """Prepare the proposed policy and answer the coordinator with PREPARED or REFUSED.
 
-        From then on the policy in use is valid for `PREPARED_TIMEOUT` at most. Neither a repeated PREPARE nor that of
-        the next proposal extends the time: the earlier proposal may have been committed.
+        From then on the policy in use is valid for at most `PREPARED_TIMEOUT`. Neither a repeated PREPARE nor
+        that of the next proposal extends this time, because the earlier proposal may have been committed.
         """
         version = message.policy_version
         if self.prepared and self.prepared.version > version:
@@ -178,7 +181,11 @@
             self._use(message.policy_version, message.text)
 
     def _abort(self, message: Message) -> None:
-        """Drop the prepared policy. An earlier one may have been committed unheard: the message names it."""
+        """Drop the prepared policy.
+
+        An earlier proposal may have been committed without this process learning of it; the message then
+        holds the committed policy.
+        """
         if self.prepared is None or self.prepared.version != message.policy_version:
             return
         self.prepared = None
@@ -188,7 +195,7 @@
             self._use(self.version, self.text)
 
     def _use(self, version: int, text: str) -> None:
-        """Put a policy into use. Its time stays limited while a later one is prepared."""
+        """Use a policy from now on; while a later one is prepared, `valid_until` still applies."""
         self.version = version
         self.text = text
         self.retry_interval = MIN_RETRY_INTERVAL
--- a/stepsail/policy/state_machine.py
+++ b/stepsail/policy/state_machine.py
@@ -1,7 +1,7 @@
-"""The state that the log's commands lead to: the policy in force, the pending proposal and the members.
+"""The replicated state machine: the policy in force, the pending proposal and the members.
 
-Every voter applies the same commands in the same order. A command that does not fit the state has no effect, so
-commands of two successive leaders may follow each other.
+Every voter applies the same commands in the same order. A command that does not fit the current state has no
+effect, so the log may hold conflicting commands of two successive leaders.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Member(NamedTuple):
-    """A process that may accept requests, and where it is reached."""
+    """A process that may accept requests, and the address at which voters reach it."""
 
     incarnation: int
     host: str
@@ -41,15 +41,15 @@
 
 
 class PolicyState(msgspec.Struct):
-    """What a snapshot holds. The encoded names are part of the snapshot format.
+    """The state of the state machine. The encoded names are part of the snapshot format.
 
     Attributes:
-        version: The policy in force; 0 before the first one.
-        text: Its text.
-        latest_version: Highest version ever proposed; versions of aborted proposals are not used again.
-        pending: The proposal without an outcome, if any.
-        members: By instance, the process that may accept requests.
-        finished: Outcomes, oldest first.
+        version: Version of the policy in force; 0 before the first one.
+        text: Text of the policy in force.
+        latest_version: Highest version proposed so far; versions of aborted proposals are not reused.
+        pending: The proposal that is neither committed nor aborted yet; None if there is none.
+        members: The processes that may accept requests, by instance number.
+        finished: The outcomes of the last finished proposals, oldest first.
     """
 
     version: int = msgspec.field(name="number", default=0)
@@ -64,31 +64,31 @@
 
 
 class PolicyStateMachine:
-    """One voter's copy of the state."""
+    """One voter's replica of the state."""
 
     def __init__(self) -> None:
         self.state = PolicyState()
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by a snapshot's."""
+        """Replace the state by that of a snapshot."""
         self.state = STATE_DECODER.decode(snapshot)
 
     def snapshot(self) -> bytes:
-        """Return the encoded state."""
+        """Return a snapshot of the state."""
         return msgspec.msgpack.encode(self.state)
 
     @property
     def members(self) -> Mapping[int, Member]:
-        """By instance, the process that may accept requests."""
+        """The processes that may accept requests, by instance number."""
         return self.state.members
 
     def incarnation_of(self, instance: int) -> int:
-        """Incarnation of the instance's admitted process; -1 without one."""
+        """Return the incarnation of the instance's admitted process; -1 if it has none."""
         member = self.state.members.get(instance)
         return member.incarnation if member else -1
 
     def apply(self, data: bytes) -> Command | None:
-        """Apply a committed log entry and return its command; None for an empty entry."""
+        """Apply a committed log entry and return its command, or None if the entry is empty."""
         command = decode_command(data)
         state = self.state
         if isinstance(command, Propose):
@@ -110,7 +110,7 @@
         return command
 
     def _admit(self, command: AdmitMember) -> None:
-        """Admit a process unless a proposal is pending: every member has to prepare the next proposal."""
+        """Admit a process unless a proposal is pending, which every member has to prepare."""
         if self.state.pending is None and command.incarnation > self.incarnation_of(command.instance):
             member = Member(command.incarnation, command.host, command.port)
             self.state.members[command.instance] = member
@@ -125,5 +125,7 @@
         self.state.finished = [*self.state.finished, finished][-MAX_FINISHED_PROPOSALS:]
 
     def outcome(self, version: int) -> bool | None:
-        """Whether a proposal was committed; None where its outcome is not known here."""
-        return next((past.committed for past in self.state.finished if past.version == version), None)
+        """Return whether a proposal was committed; None if its outcome is not known to this voter."""
+        return next(
+            (finished.committed for finished in self.state.finished if finished.version == version), None
+        )
--- a/tests/fleet/test_runner.py
+++ b/tests/fleet/test_runner.py
@@ -1,4 +1,4 @@
-"""`stepsail fleet` with processes of the real program: started, watched, rolled and ended."""
+"""Tests `stepsail fleet` with real processes: start, polling, rolling restart and stop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from stepsail.standins.instances import free_address
 from stepsail.standins.service import Service
 
-SITE = """
+COMMON_SETTINGS = """
 product look {
     route GET /look
     repeats redoable
@@ -31,7 +31,9 @@
 """
 
 
-def written(folder: Path, conveyor: str = "127.0.0.1:9", roster: str = "127.0.0.1:9", **changed: str) -> Path:
+def write_fleet_file(
+    folder: Path, release_control: str = "127.0.0.1:9", discovery: str = "127.0.0.1:9", **overrides: str
+) -> Path:
     host = free_address()[0]
     lines = {
         "umpires": "3",
@@ -39,24 +41,24 @@
         "common": "site.conf",
         "listen": f"{host}:21000",
         "view": f"{host}:22000 period 200ms",
-        "conveyor": conveyor,
-        "roster": f"{roster} pushed",
+        "conveyor": release_control,
+        "roster": f"{discovery} pushed",
         "control": f"{host}:23000",
         "roll-part": "34%",
-    } | {k.replace("_", "-"): v for k, v in changed.items()}
-    (folder / "site.conf").write_text(SITE)
+    } | {k.replace("_", "-"): v for k, v in overrides.items()}
+    (folder / "site.conf").write_text(COMMON_SETTINGS)
     file = folder / "fleet.conf"
-    file.write_text("".join(f"{word} {value}\n" for word, value in lines.items() if value))
+    file.write_text("".join(f"{name} {value}\n" for name, value in lines.items() if value))
     return file
 
 
-class Shell:
-    """The command line, while the stand-ins go on in this process."""
+class CommandLine:
+    """Runs `stepsail fleet` in processes, while the stand-ins run on the event loop of this process."""
 
     def __init__(self, loop: Loop, file: Path) -> None:
         self.loop, self.file = loop, file
 
-    def begin(self, command: str, *options: str) -> subprocess.Popen[str]:
+    def start_command(self, command: str, *options: str) -> subprocess.Popen[str]:
         return subprocess.Popen(
             [sys.executable, "-m", "stepsail", "fleet", command, str(self.file), *options],
             stdout=subprocess.PIPE,
@@ -65,39 +67,42 @@
         )
 
     def run(self, command: str, *options: str) -> tuple[int, str]:
-        one = self.begin(command, *options)
-        while one.poll() is None:
+        process = self.start_command(command, *options)
+        while process.poll() is None:
             self.loop.sleep(0.02)
-        out, error = one.communicate()
-        return one.returncode, out or error
+        out, error = process.communicate()
+        return process.returncode, out or error
 
     def status(self) -> dict[str, Any]:
-        found: dict[str, Any] = json.loads(self.run("status", "--json")[1])
-        return found
+        status: dict[str, Any] = json.loads(self.run("status", "--json")[1])
+        return status
 
-    def until(self, holds: Any, seconds: float = 30.0) -> dict[str, Any]:
+    def wait_until(self, condition: Any, seconds: float = 30.0) -> dict[str, Any]:
         end = self.loop.now() + seconds
         while True:
             code, text = self.run("status", "--json")
-            if code in (0, 1) and holds(found := json.loads(text)):
-                return found  # type: ignore[no-any-return]
+            if code in (0, 1) and condition(status := json.loads(text)):
+                return status  # type: ignore[no-any-return]
             assert self.loop.now() < end, text
             self.loop.sleep(0.1)
 
 
-def all_ready(found: dict[str, Any]) -> bool:
-    return all(u["state"] == "ready" and u["present"] == 3 for u in found["umpires"]) and found["views"] == 1
+def all_ready(status: dict[str, Any]) -> bool:
+    return (
+        all(row["state"] == "ready" and row["present"] == 3 for row in status["umpires"])
+        and status["views"] == 1
+    )
 
 
-def test_fleet_is_started_watched_healed_restarted_and_stopped(tmp_path: Path) -> None:
+def test_fleet_starts_recovers_a_killed_instance_restarts_and_stops(tmp_path: Path) -> None:
     driver = PollDriver()
     loop = Loop(driver, lambda event, **fields: None)
 
-    def news(path: str, query: dict[str, str], body: Any, stream: Any) -> Any:
+    def release_response(path: str, query: dict[str, str], body: Any, stream: Any) -> Any:
         loop.sleep(0.2 if int(query.get("after", 0)) else 0.0)
         return {"seq": 1, "state": {"build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age": 100.0}}
 
-    def listed(path: str, query: dict[str, str], body: Any, stream: Any) -> Any:
+    def endpoint_response(path: str, query: dict[str, str], body: Any, stream: Any) -> Any:
         loop.sleep(0.2 if int(query.get("after", 0)) else 0.0)
         return {
             "seq": int(query.get("after", 0)) + 1,
@@ -108,30 +113,38 @@
         }
 
     def main() -> None:
-        conveyor, roster = Service(loop, "conveyor", news), Service(loop, "roster", listed)
-        shell = Shell(
-            loop, written(tmp_path, "{}:{}".format(*conveyor.address), "{}:{}".format(*roster.address))
+        release_control, discovery = (
+            Service(loop, "conveyor", release_response),
+            Service(loop, "roster", endpoint_response),
         )
-        fleet = shell.begin("run")
+        command_line = CommandLine(
+            loop,
+            write_fleet_file(
+                tmp_path, "{}:{}".format(*release_control.address), "{}:{}".format(*discovery.address)
+            ),
+        )
+        fleet = command_line.start_command("run")
         try:
-            first = shell.until(all_ready)
-            pids = [u["pid"] for u in first["umpires"]]
+            first = command_line.wait_until(all_ready)
+            pids = [row["pid"] for row in first["umpires"]]
             os.kill(pids[1], signal.SIGKILL)
-            healed = shell.until(lambda found: all_ready(found) and found["umpires"][1]["starts"] == 2)
-            assert healed["umpires"][1]["last_code"] == -9 and healed["umpires"][0]["pid"] == pids[0]
-            assert shell.run("restart", "--rolling", "--wait")[0] == 0
-            rolled = shell.until(all_ready)
-            assert [u["starts"] for u in rolled["umpires"]] == [2, 3, 2]
-            assert all(u["last_code"] == 0 for u in rolled["umpires"])
-            assert "ready" in shell.run("status")[1]
-            assert shell.run("stop", "--wait")[0] == 0
+            recovered = command_line.wait_until(
+                lambda status: all_ready(status) and status["umpires"][1]["starts"] == 2
+            )
+            assert recovered["umpires"][1]["last_code"] == -9 and recovered["umpires"][0]["pid"] == pids[0]
+            assert command_line.run("restart", "--rolling", "--wait")[0] == 0
+            restarted = command_line.wait_until(all_ready)
+            assert [row["starts"] for row in restarted["umpires"]] == [2, 3, 2]
+            assert all(row["last_code"] == 0 for row in restarted["umpires"])
+            assert "ready" in command_line.run("status")[1]
+            assert command_line.run("stop", "--wait")[0] == 0
             while fleet.poll() is None:
                 loop.sleep(0.05)
             assert fleet.returncode == 0
-            for unit in rolled["umpires"]:
+            for row in restarted["umpires"]:
                 with pytest.raises(ProcessLookupError):
-                    os.kill(unit["pid"], 0)
-            assert shell.run("status")[0] == 4
+                    os.kill(row["pid"], 0)
+            assert command_line.run("status")[0] == 4
         finally:
             fleet.kill()
             fleet.communicate()
@@ -143,20 +156,26 @@
 
 
 @pytest.mark.parametrize(
-    ("changed", "said"),
+    ("overrides", "message"),
     [
-        ({"common": "missing.conf"}, "there is no file missing.conf"),
-        ({"listen": "127.0.0.1:65534"}, "go up to 65536"),
-        ({"control": "10.0.0.1:80"}, "only an address of this machine's own"),
-        ({"listen": "127.0.0.1:500", "control": "127.0.0.1:501"}, "one of the umpires' own"),
-        ({"view": "127.0.0.1:500", "neighbours": "127.0.0.1:502"}, "meet those of 'view'"),
-        ({"view": "127.0.0.1:500", "neighbours": "127.0.0.1:602", "speak": "yes"}, "it needs 'view', and no"),
+        ({"common": "missing.conf"}, "the file missing.conf does not exist"),
+        ({"listen": "127.0.0.1:65534"}, "3 instances need ports up to 65536"),
+        ({"control": "10.0.0.1:80"}, "expected a loopback address"),
+        (
+            {"listen": "127.0.0.1:500", "control": "127.0.0.1:501"},
+            "one of the ports on which the instances listen",
+        ),
+        ({"view": "127.0.0.1:500", "neighbours": "127.0.0.1:502"}, "overlap those of 'view'"),
+        (
+            {"view": "127.0.0.1:500", "neighbours": "127.0.0.1:602", "speak": "yes"},
+            "needs 'view', and cannot be combined with 'neighbours'",
+        ),
         ({"umpires": ""}, "umpires"),
     ],
 )
-def test_error_in_a_fleets_file_is_told_with_its_place(
-    tmp_path: Path, changed: dict[str, str], said: str
+def test_error_in_fleet_file_is_reported_with_its_location(
+    tmp_path: Path, overrides: dict[str, str], message: str
 ) -> None:
-    with pytest.raises(InvalidSettings) as faults:
-        read_plan(written(tmp_path, **changed))
-    assert said in str(faults.value) and "fleet.conf:" in str(faults.value)
+    with pytest.raises(InvalidSettings) as raised:
+        read_plan(write_fleet_file(tmp_path, **overrides))
+    assert message in str(raised.value) and "fleet.conf:" in str(raised.value)
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -1,4 +1,4 @@
-"""The fleet's view, and changes of policy, by processes of the real program with faults between them."""
+"""Tests membership and policy changes with real processes and network faults between them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 DAY = Path(__file__).parents[2] / "days" / "fleet" / "processes.conf"
 
 
-def test_a_small_day_on_processes_keeps_its_promises(tmp_path: Path) -> None:
+def test_short_day_on_processes_violates_no_promise(tmp_path: Path) -> None:
+    """A day is a scripted run: faults, requests and policy changes at given times."""
     driver = PollDriver()
     loop = Loop(driver, lambda event, **fields: None)
     rehearsal = Rehearsal(loop, read_day(DAY), tmp_path)
@@ -28,5 +29,7 @@
     history = read_history(tmp_path / "transcript.jsonl")
     policies = PolicyChecker(history)
     assert policies.violations() == [] and verify(history) == []
-    (past,) = (x for x in history.lines if x["at"] == "policy" and x["what"] == "past")
-    assert (past["held"], past["given_up"]) == ([2], [1]) and sorted(policies.requests_per_policy) == [0, 2]
+    (finished,) = (line for line in history.lines if line["at"] == "policy" and line["what"] == "past")
+    assert (finished["held"], finished["given_up"]) == ([2], [1]) and sorted(
+        policies.requests_per_policy
+    ) == [0, 2]
--- a/tests/policy/test_policy_change.py
+++ b/tests/policy/test_policy_change.py
@@ -1,4 +1,4 @@
-"""Changes of policy under drawn faults of instances, voters and the links between them."""
+"""Policy changes under random faults of instances, voters and the links between them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RandomHistory:
-    """Faults and proposals drawn from a seed, then time for all to come to one policy."""
+    """Plays faults and proposals drawn from a seed, then heals all faults and lets the instances converge."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(f"{seed} policies")
@@ -60,9 +60,8 @@
         elif action == 14:
             fleet.start_all()
             if random.random() < 0.3:
-                instance.clock_offset += random.choice(
-                    [-2.0, -1.0, 3.0]
-                )  # back by the bound at most, and seldom
+                # Clocks are set back rarely, and by MAX_CLOCK_STEP_BACK at most.
+                instance.clock_offset += random.choice([-2.0, -1.0, 3.0])
 
     def _recover(self) -> None:
         fleet = self.fleet
@@ -80,42 +79,44 @@
         }
         if versions != {max(fleet.committed_at, default=0)}:
             committed = sorted(fleet.committed_at)
-            fleet.violations.append(f"in the end instances use {versions}, committed are {committed}")
+            fleet.violations.append(
+                f"after recovery the instances use versions {versions}; committed versions: {committed}"
+            )
 
 
-def played(seed: int, steps: int = 50) -> PolicyFleet:
+def play_history(seed: int, steps: int = 50) -> PolicyFleet:
     return RandomHistory(seed).play(steps)
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_policy_is_in_force_at_all_instances_or_at_none(seed: int) -> None:
-    assert played(seed).violations == []
+def test_policy_takes_effect_at_all_instances_or_at_none(seed: int) -> None:
+    assert play_history(seed).violations == []
 
 
 def never_expire(self: PolicyParticipant, now: float) -> int | None:
-    """Uses the old policy until the participant hears of another one."""
+    """Broken `version_at`: the old policy never expires."""
     return self.version if self.admitted and not self.left else None
 
 
 def admit_itself(self: PolicyParticipant, now: float) -> None:
-    """Accepts requests after a start without asking."""
+    """Broken `tick`: accepts requests after a start without admission by the leader."""
     self.admitted, self.next_timeout = True, inf
 
 
 def all_unprepared_but_one(self: PolicyCoordinator) -> list[int]:
-    """Commits without the last member."""
+    """Broken `unprepared_members`: omits one member, so that a proposal is committed without it."""
     members = sorted(self.state_machine.members.items())
     return [n for n, member in members if (n, member.incarnation) not in self.prepared][:-1]
 
 
 def use_proposed_policy(self: PolicyParticipant, message: Message, voter: int) -> None:
-    """Accepts requests under a proposal that is only pending."""
+    """Broken `_prepare`: accepts requests under a proposal that is still pending."""
     self._send(MessageKind.PREPARED, voter, message.policy_version)
     self._use(message.policy_version, message.text)
 
 
 @pytest.mark.parametrize(
-    ("of", "name", "broken"),
+    ("owner", "name", "broken_method"),
     [
         (PolicyParticipant, "version_at", never_expire),
         (PolicyParticipant, "tick", admit_itself),
@@ -123,11 +124,11 @@
         (PolicyParticipant, "_prepare", use_proposed_policy),
     ],
 )
-def test_fault_injection_finds_a_broken_part(
-    monkeypatch: pytest.MonkeyPatch, of: type, name: str, broken: Any
+def test_fault_injection_detects_broken_implementation(
+    monkeypatch: pytest.MonkeyPatch, owner: type, name: str, broken_method: Any
 ) -> None:
-    monkeypatch.setattr(of, name, broken)
-    assert any(played(seed).violations for seed in range(1, 60))
+    monkeypatch.setattr(owner, name, broken_method)
+    assert any(play_history(seed).violations for seed in range(1, 60))
 
 
 def test_only_the_outcome_ends_the_prepared_timeout() -> None:
@@ -140,16 +141,17 @@
         return participant.version_at(at)
 
     assert participant.version_at(0.0) is None and receive(MessageKind.ADMITTED, 4, 0.1) == 4
+    # A duplicate of PREPARE that arrives late does not extend the validity of the old policy.
     assert (
         receive(MessageKind.PREPARE, 5, 1.0) == 4
         and receive(MessageKind.PREPARE, 5, 1.0 + PREPARED_TIMEOUT - 0.1) == 4
-    )  # duplicated, late
+    )
     assert participant.version_at(1.0 + PREPARED_TIMEOUT) is None
-    assert receive(MessageKind.ADMITTED, 4, 5.2) is None  # from a voter that is behind
-    assert receive(MessageKind.PREPARE, 6, 6.0) is None  # 5 may have been committed unheard
-    assert (
-        receive(MessageKind.ABORTED, 5, 6.5) is None and participant.version_at(0.5) is None
-    )  # nor does a clock set back
+    assert receive(MessageKind.ADMITTED, 4, 5.2) is None  # from a voter whose state machine lags behind
+    # Version 5 may have been committed without the participant learning of it.
+    assert receive(MessageKind.PREPARE, 6, 6.0) is None
+    # Setting the clock back does not make the policy valid again either.
+    assert receive(MessageKind.ABORTED, 5, 6.5) is None and participant.version_at(0.5) is None
     assert receive(MessageKind.ABORTED, 6, 7.0, committed_version=5) == 5
     assert receive(MessageKind.PREPARE, 7, 8.0) == 5 and receive(MessageKind.COMMITTED, 7, 8.1) == 7
     assert (
@@ -159,7 +161,7 @@
     )
 
 
-def test_commands_that_do_not_fit_have_no_effect() -> None:
+def test_commands_that_do_not_fit_the_state_have_no_effect() -> None:
     machine = PolicyStateMachine()
     for command in (
         Commit(1),
--- a/tests/policy/test_policy_page.py
+++ b/tests/policy/test_policy_page.py
@@ -1,4 +1,4 @@
-"""The status page has the fields and values of the code from before the renaming."""
+"""The status page has the same fields and values as before the identifiers were renamed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from stepsail.proxy.policy_status import participant_status, voter_status
 from stepsail.standins.policy_fleet import PolicyFleet
 
-STORED = Path(__file__).parent / "before-names"
+EXAMPLES_FOLDER = Path(__file__).parent / "before-names"
 
 
 def test_pages_are_the_same_with_an_aborted_a_committed_and_a_pending_proposal() -> None:
@@ -31,4 +31,4 @@
         status = participant_status(participant)
         status["keeper"] = voter_status(voter.replica, fleet.coordinators[number])
         pages[number] = {"policy": status}
-    assert json.dumps(pages, indent=1) + "\n" == (STORED / "pages.json").read_text()
+    assert json.dumps(pages, indent=1) + "\n" == (EXAMPLES_FOLDER / "pages.json").read_text()
--- a/tests/policy/test_policy_wire_format.py
+++ b/tests/policy/test_policy_wire_format.py
@@ -1,4 +1,4 @@
-"""Messages, log entries and snapshots of the code from before the renaming: read and written byte for byte."""
+"""Messages, log entries and snapshots have the same bytes as before the identifiers were renamed."""
 
 from __future__ import annotations
 
