--- a/stepsail/experiment/hunt.py
+++ b/stepsail/experiment/hunt.py
@@ -68,9 +68,9 @@
 
 def _release_lines(day: Day) -> Iterator[str]:
     for at, build in day.offers:
-        request_class = f" product {build.product}" if build.product else ""
+        request_class = f" product {build.failing_class}" if build.failing_class else ""
         yield (
-            f"offer at {_number(at)}s {build.kind} size {_number(build.size)}{request_class} "
+            f"offer at {_number(at)}s {build.kind} size {_number(build.severity)}{request_class} "
             f"speed {_number(build.speed)}"
         )
 
--- a/stepsail/standins/__init__.py
+++ b/stepsail/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for all that an umpire meets: boxes, release control, roster, clients, and faulty links between them.
+"""Stand-ins for an instance's environment: servers, release control, endpoint discovery, clients, faulty links.
 
-They run as tasks of one loop, so that everything they write down is on one clock.
+All stand-ins run as tasks of one event loop, so every line of the transcript is dated by the same clock.
 """
--- a/stepsail/standins/arrivals.py
+++ b/stepsail/standins/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrival times of clients: Poisson arrivals at a rate that may change, by thinning (Lewis and Shedler 1979)."""
+"""Arrival times of clients: a Poisson process with a varying rate, by thinning (Lewis and Shedler 1979)."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 from math import pi, sin
 from random import Random
 
-Rate = Callable[[float], float]  # requests a second, as a function of the seconds since the start
+# Requests per second as a function of the seconds since the start.
+Rate = Callable[[float], float]
 
-ROUNDING = 1e-9  # relative excess over the highest rate that rounding may cause
+ROUNDING_TOLERANCE = 1e-9  # relative excess over `max_rate` that floating-point rounding may cause
 
 
 def steady(rate: float) -> Rate:
-    """The same rate all the time."""
+    """Return a constant rate."""
 
     def rate_at(elapsed: float) -> float:
         return rate
@@ -21,7 +22,7 @@
 
 
 def burst(rate: float, at: float, length: float, times: float) -> Rate:
-    """A rate that is multiplied from `at` on for `length` seconds."""
+    """Return a rate that is multiplied by `times` for `length` seconds, starting at `at`."""
 
     def rate_at(elapsed: float) -> float:
         return rate * (times if at <= elapsed < at + length else 1.0)
@@ -30,7 +31,7 @@
 
 
 def curve(rate: float, length: float, times: float) -> Rate:
-    """A rate that rises to its multiple in the middle and falls again, as over a day."""
+    """Return a rate that rises to `times` its value at half of `length` and falls again, as over a day."""
 
     def rate_at(elapsed: float) -> float:
         return rate * (1 + (times - 1) * sin(pi * min(1.0, max(0.0, elapsed / length))) ** 2)
@@ -39,7 +40,7 @@
 
 
 def shift(rate: float, at: float, times: float) -> Rate:
-    """A rate that is multiplied from `at` on for good."""
+    """Return a rate that is permanently multiplied by `times` from `at` on."""
 
     def rate_at(elapsed: float) -> float:
         return rate * (times if elapsed >= at else 1.0)
@@ -48,7 +49,7 @@
 
 
 def arrivals(random: Random, rate: Rate, max_rate: float, until: float) -> Iterator[float]:
-    """Draw the arrival times from 0 to `until`.
+    """Draw the arrival times between 0 and `until`, in seconds.
 
     Raises:
         ValueError: The rate exceeds `max_rate`.
@@ -59,9 +60,9 @@
         if at >= until:
             return
         rate_now = rate(at)
-        if rate_now > max_rate * (1 + ROUNDING):
+        if rate_now > max_rate * (1 + ROUNDING_TOLERANCE):
             raise ValueError(
-                f"the rate is {rate_now:g} at {at:g} s, over the {max_rate:g} that was said to be the most"
+                f"the rate is {rate_now:g} at {at:g} s, over the {max_rate:g} that was declared as its maximum"
             )
         if random.random() * max_rate < rate_now:
             yield at
--- a/stepsail/standins/builds.py
+++ b/stepsail/standins/builds.py
@@ -1,4 +1,4 @@
-"""How builds behave: what is wrong with a bad one, and when it shows."""
+"""Behavior of simulated builds: the defect of a bad build, and under which conditions it shows."""
 
 from __future__ import annotations
 
@@ -7,62 +7,62 @@
 
 
 class BuildKind(StrEnum):
-    """What is wrong with a build, in the words of the day files."""
+    """Kinds of defects; the values are the words that day files use."""
 
     GOOD = "good"
-    ERRORS = "errors"  # a share of the requests fails
+    ERRORS = "errors"  # a share of all requests fails
     CLASS_ERRORS = "product"  # a share of the requests of one class fails
-    SLOW = "slow"  # all work takes longer
-    SLOW_UNDER_LOAD = "busy"  # work takes longer, and some fails, on busy servers
-    SLOW_WITH_AGE = "late"  # work takes longer, and some fails, a while after the server's start
-    WRONG = "wrong"  # a share of the answers is wrong and looks like any other
-    SLOWS_ALL = "shared"  # every server is slowed in step with the build's traffic
+    SLOW = "slow"  # all requests take longer
+    SLOW_UNDER_LOAD = "busy"  # on busy servers requests take longer and some fail
+    SLOW_WITH_AGE = "late"  # some time after the server's start requests take longer and some fail
+    WRONG = "wrong"  # a share of the responses is wrong but looks successful
+    SLOWS_ALL = "shared"  # all servers slow down in proportion to the build's traffic
 
 
-KINDS = tuple(kind.value for kind in BuildKind)
+BUILD_KINDS = tuple(kind.value for kind in BuildKind)
 
-ERROR_SHARE = 0.5  # of the requests, for the kinds that are slow and fail as well
+ERROR_SHARE = 0.5  # share of requests that fail, for the kinds that cause both slowness and errors
 
 
 @dataclass
 class Build:
-    """One build; `size` is a share that fails, or a factor of work, as its kind has it."""
+    """One build; depending on its kind, `severity` is the share of requests affected or a factor of work."""
 
     number: int
     kind: str = BuildKind.GOOD.value
-    size: float = 0.0
-    product: str = ""
+    severity: float = 0.0
+    failing_class: str = ""
     speed: float = 1.0
-    after: float = 5.0  # s from a server's start on
-    over: float = 0.4  # utilization from which a server is busy
+    onset_age: float = 5.0  # age of the server (s) from which SLOW_WITH_AGE shows
+    busy_utilization: float = 0.4  # utilization above which SLOW_UNDER_LOAD shows
 
     @property
     def bad(self) -> bool:
-        """Whether release control should roll it back."""
+        """Whether the build has a defect, so that release control should roll it back."""
         return self.kind != BuildKind.GOOD
 
-    def work(self, work: float, utilization: float, age: float) -> float:
-        """Seconds of one core that a request takes here."""
+    def work_duration(self, work: float, utilization: float, age: float) -> float:
+        """Return the core seconds that a request takes with this build, given its usual `work`."""
         is_slow = (
             self.kind == BuildKind.SLOW
-            or (self.kind == BuildKind.SLOW_UNDER_LOAD and utilization > self.over)
-            or (self.kind == BuildKind.SLOW_WITH_AGE and age > self.after)
+            or (self.kind == BuildKind.SLOW_UNDER_LOAD and utilization > self.busy_utilization)
+            or (self.kind == BuildKind.SLOW_WITH_AGE and age > self.onset_age)
         )
-        return work / self.speed * (max(1.0, self.size) if is_slow else 1.0)
+        return work / self.speed * (max(1.0, self.severity) if is_slow else 1.0)
 
-    def fails(self, product: str, utilization: float, age: float, draw: float) -> bool:
-        """Whether a request ends in an error; `draw` is a random number from 0 to 1."""
+    def fails(self, class_name: str, utilization: float, age: float, draw: float) -> bool:
+        """Return whether a request ends in an error; `draw` is a random number from 0 to 1."""
         match self.kind:
             case BuildKind.ERRORS:
-                return draw < self.size
+                return draw < self.severity
             case BuildKind.CLASS_ERRORS:
-                return product == self.product and draw < self.size
+                return class_name == self.failing_class and draw < self.severity
             case BuildKind.SLOW_UNDER_LOAD:
-                return utilization > self.over and draw < ERROR_SHARE
+                return utilization > self.busy_utilization and draw < ERROR_SHARE
             case BuildKind.SLOW_WITH_AGE:
-                return age > self.after and draw < ERROR_SHARE
+                return age > self.onset_age and draw < ERROR_SHARE
         return False
 
-    def wrong(self, draw: float) -> bool:
-        """Whether an answer is wrong; `draw` is a random number from 0 to 1."""
-        return self.kind == BuildKind.WRONG and draw < self.size
+    def answers_wrongly(self, draw: float) -> bool:
+        """Return whether a response is wrong; `draw` is a random number from 0 to 1."""
+        return self.kind == BuildKind.WRONG and draw < self.severity
--- a/stepsail/standins/client_requests.py
+++ b/stepsail/standins/client_requests.py
@@ -1,4 +1,4 @@
-"""What clients send: kinds of requests, visits, and the tries of a visit."""
+"""Requests of the simulated clients: kinds of requests, visits, and the attempts of a visit."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from stepsail.loop.driver import Address
 
 
-class Verdict(StrEnum):
-    """How a try ended for its client, in the words of the transcript."""
+class ClientOutcome(StrEnum):
+    """Outcome of an attempt as its client sees it; the values are the words of the transcript."""
 
     SERVED = "handled"
     FAILED = "errored"
@@ -22,62 +22,62 @@
 
 @dataclass
 class ClientRequest:
-    """A kind of request that clients send, with its share of the traffic."""
+    """A kind of request that clients send, with its share of the traffic and client timeout (s)."""
 
     name: str
     method: str
     path: str
     share: float
     timeout: float
-    sends_key: bool
+    sends_idempotency_key: bool
 
 
 @dataclass(frozen=True)
 class Visit:
-    """One client with its request, which it tries until it is served or has no retry left."""
+    """One client's request, which the client retries until it is served or no retry is left."""
 
     number: int
     request: ClientRequest
     zone: str
-    patience: float  # s
+    attempt_timeout: float  # s that the client waits for the response to each attempt
 
 
 @dataclass
-class Try:
-    """One try of a visit, at one instance."""
+class ClientAttempt:
+    """One attempt of a visit, sent to one instance."""
 
     visit: Visit
-    turn: int
+    retry_number: int
     instance: int
     address: Address
     started_at: float
-    verdict: Verdict = Verdict.CONNECTION_LOST
+    outcome: ClientOutcome = ClientOutcome.CONNECTION_LOST
     retry_after: float = 0.0
     response: Response | None = None
 
     @property
     def request_id(self) -> str:
-        """The id that the client sends."""
-        return f"{self.visit.number}-{self.turn}"
+        """The request id that the client sends."""
+        return f"{self.visit.number}-{self.retry_number}"
 
     @property
-    def source(self) -> dict[str, str | int]:
-        """What every line of the transcript about this try has."""
+    def transcript_fields(self) -> dict[str, str | int]:
+        """The fields that identify this attempt in every transcript line about it."""
         return {"id": self.request_id, "umpire": self.instance}
 
 
-def encode_try(attempt: Try) -> bytes:
-    """The bytes of a try's request."""
+def encode_attempt(attempt: ClientAttempt) -> bytes:
+    """Encode the HTTP request of an attempt."""
     visit = attempt.visit
     host, port = attempt.address
     headers = [
         (b"host", b"%s:%d" % (host.encode(), port)),
         (b"x-request-id", attempt.request_id.encode()),
-        (b"request-timeout", b"%.4f" % visit.patience),
+        (b"request-timeout", b"%.4f" % visit.attempt_timeout),
     ]
-    if visit.request.sends_key:
+    if visit.request.sends_idempotency_key:
         headers.append((b"idempotency-key", b"visit-%d" % visit.number))
-    if attempt.turn:
+    if attempt.retry_number:
         headers.append((b"idempotency-repeat", b"?1"))
     body = b'{"visit":%d}' % visit.number if visit.request.method != "GET" else b""
     return encode_request(visit.request.method.encode(), visit.request.path.encode(), headers, body)
--- a/stepsail/standins/day.py
+++ b/stepsail/standins/day.py
@@ -11,7 +11,7 @@
 from stepsail.settings.errors import InvalidSettings
 from stepsail.settings.reader import SettingsReader
 from stepsail.settings.schema import SHARE_BOUNDS, TIME_BOUNDS, Setting, argument
-from stepsail.standins.builds import KINDS, Build
+from stepsail.standins.builds import BUILD_KINDS, Build
 from stepsail.standins.clients import ClientBehavior
 from stepsail.standins.server_group import ServerShape
 
@@ -249,7 +249,7 @@
         "A build is offered: what it does, how much, to which product, its speed.",
         (
             argument("time", "times", keyword="at", **TIME_BOUNDS),
-            argument("kind", "text", enum=list(KINDS)),
+            argument("kind", "text", enum=list(BUILD_KINDS)),
             argument("size", "numbers", keyword="size", optional=True),
             argument("product", "text", keyword="product", optional=True),
             argument("speed", "numbers", keyword="speed", optional=True, exclusiveMinimum=0),
--- a/stepsail/standins/discovery.py
+++ b/stepsail/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Stand-in endpoint discovery: a versioned list of servers, told late, as full lists or as changes."""
+"""Stand-in for endpoint discovery: a versioned list of servers, sent late, in full or as changes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Endpoint:
-    """What the list says of one server, and the version in which that last changed."""
+    """State of one server in the list, and the list version of its last change."""
 
     server: StandInServer
     state: str
@@ -27,7 +27,10 @@
 
 
 class DiscoveryService:
-    """Lists changes `delay` seconds late; `address_for(instance, server)` is where that instance reaches it."""
+    """Publishes changes after `delay` seconds.
+
+    `address_for(instance, server)` returns the address at which the instance reaches the server.
+    """
 
     def __init__(
         self,
@@ -45,16 +48,18 @@
         self.service = Service(loop, "roster", self._handle)
 
     def announce(self, server: StandInServer, state: str, delay: float | None = None) -> None:
-        """List a change after the usual delay, or after the given one."""
-        self.loop.call_later(self.delay if delay is None else delay, lambda: self._list(server, state))
+        """Publish a server's new state after the usual delay, or after the given delay."""
+        self.loop.call_later(
+            self.delay if delay is None else delay, lambda: self._apply_change(server, state)
+        )
 
-    def _list(self, server: StandInServer, state: str) -> None:
-        known = self.endpoints.get(server.name)
-        if known and known.server is not server and known.server.started_at > server.started_at:
-            return  # a later start of the same name has taken the entry over
+    def _apply_change(self, server: StandInServer, state: str) -> None:
+        current = self.endpoints.get(server.name)
+        if current and current.server is not server and current.server.started_at > server.started_at:
+            return  # the entry already belongs to a later start of the server of this name
         self.version += 1
         self.endpoints[server.name] = Endpoint(server, state, self.version)
-        self.service.change()
+        self.service.notify_change()
 
     def _handle(self, path: str, query: dict[str, str], body: Any, stream: Stream) -> Any:
         instance = int(query.get("umpire", "-1"))
@@ -67,7 +72,7 @@
             for endpoint in self.endpoints.values()
             if (endpoint.state != GONE if is_full else endpoint.version > after)
         ]
-        # Of two starts at one address the receiver keeps the last in the list.
+        # If two starts of a server have the same address, the receiver keeps the later one in the list.
         listed.sort(key=lambda endpoint: endpoint.version)
         self.transcript.add(
             "roster",
@@ -95,6 +100,7 @@
             "start": server.start_id,
             "size": 1.0,
         }
-        if server.warm_at > server.started_at:  # one that ran before the run began has no age
+        # Servers that ran before the run began are warm, and their age is unknown.
+        if server.warm_at > server.started_at:
             message["age"] = round(self.loop.now() - server.started_at, 3)
         return message
--- a/stepsail/standins/instances.py
+++ b/stepsail/standins/instances.py
@@ -1,4 +1,4 @@
-"""The instances under test in a run, each with its settings file and log; as processes, or emulated elsewhere."""
+"""Instances under test in a run, each with its settings file and log, as processes or simulated elsewhere."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 POLL_INTERVAL_S = 0.05
 OK = 200
 
-# Loopback addresses 127.N.N.N, spread over processes and over the calls of one process.
+# Loopback addresses 127.N.N.N differ between processes, and between the calls in one process.
 FIRST_NETWORK = 16
 NETWORKS = 64
 HOSTS = 250
@@ -32,9 +32,9 @@
 
 
 def free_address() -> Address:
-    """An address that nobody listens on: a loopback address that only this process uses, and a port there.
+    """Return an unused port on a loopback address that only this process uses.
 
-    On an address that others use too, another process may take the port before it is listened on.
+    On a shared address, another process could take the port before the caller listens on it.
     """
     number = next(_address_numbers)
     process = os.getpid()
@@ -47,7 +47,7 @@
 
 
 class RunningInstance(ABC):
-    """One instance of a run; a subclass says where it runs."""
+    """One instance of a run; subclasses implement how it is executed."""
 
     def __init__(
         self, loop: Loop, number: int, zone: str, listen: Address, out: Path, transcript: Transcript
@@ -58,29 +58,29 @@
         self.listen = listen
         self.settings_file = out / f"umpire-{number}.conf"
         self.log = out / f"umpire-{number}.log"
-        self.endpoint_cache = out / f"umpire-{number}-roster.json"  # as its settings name it
+        self.endpoint_cache = out / f"umpire-{number}-roster.json"  # the path that its settings name
         self.transcript = transcript
         self.skew = Skew()
 
     def free_address(self) -> Address:
-        """An address where nobody listens, on the network that this instance is on."""
+        """Return an unused address on this instance's network."""
         return free_address()
 
     @abstractmethod
     def start(self) -> None:
-        """Start it, also again after its end."""
+        """Start the instance; after it has ended, it may be started again."""
 
     @abstractmethod
     def has_ended(self) -> bool:
-        """Whether it runs no more."""
+        """Return whether the instance is not running."""
 
     @abstractmethod
     def signal(self, number: int) -> None:
-        """Send its process a signal."""
+        """Send a signal to the instance."""
 
     @abstractmethod
     def exit_code(self) -> int | None:
-        """Its exit code, once it has ended."""
+        """Return the exit code, or None if there is none yet."""
 
     def send_signal(self, number: int, event: str) -> None:
         """Send a signal and record it, unless the instance has ended."""
@@ -89,11 +89,11 @@
             self.signal(number)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the instance with SIGKILL."""
         self.send_signal(signal.SIGKILL, "killed")
 
     def shut_down(self) -> int | None:
-        """Ask it to stop, and wait; its exit code, or None if it had to be killed."""
+        """Shut the instance down gracefully; return its exit code, or None if it had to be killed."""
         self.send_signal(signal.SIGTERM, "told to leave")
         deadline = self.loop.now() + SHUTDOWN_TIMEOUT_S
         while not self.has_ended() and self.loop.now() < deadline:
@@ -105,7 +105,7 @@
         return self.exit_code()
 
     def is_ready(self) -> bool:
-        """Whether it says that it is; waits a moment for its answer."""
+        """Return whether the instance answers its readiness check with status 200."""
         try:
             answer = request_once(
                 self.loop, self.listen, b"/.stepsail/ready", connect_timeout=CONNECT_TIMEOUT_S
@@ -116,7 +116,7 @@
 
 
 class InstanceProcess(RunningInstance):
-    """An instance as a process of its own."""
+    """An instance that runs as an operating system process."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the process; its output goes to the log."""
+        """Start the process, appending its output to the log."""
         clock = [] if self.skew == Skew() else ["--clock", self.skew.format()]
         command = [*self.command, str(self.settings_file), *clock]
         with self.log.open("ab") as log:
@@ -141,18 +141,18 @@
         self.transcript.add("umpire", "started", umpire=self.number)
 
     def has_ended(self) -> bool:
-        """Whether the process has ended, or was never started."""
+        """Return whether the process has ended or was never started."""
         return self.process is None or self.process.poll() is not None
 
     def signal(self, number: int) -> None:
-        """Send the process a signal; after SIGKILL, wait for its end."""
+        """Send the process a signal; after SIGKILL, wait until it has ended."""
         if self.process:
             self.process.send_signal(number)
             if number == signal.SIGKILL:
                 self.process.wait()
 
     def exit_code(self) -> int | None:
-        """The exit code of the process, once it has ended."""
+        """Return the exit code of the process, or None if it was never started or has not ended."""
         return self.process.returncode if self.process else None
 
 
@@ -160,7 +160,7 @@
 
 
 def instance_processes(command: list[str] | None = None) -> InstanceFactory:
-    """Make instances as processes that run this command, or the usual one."""
+    """Return a factory for instances that run `command`, by default `stepsail umpire`, as processes."""
 
     def make(loop: Loop, number: int, zone: str, out: Path, transcript: Transcript) -> RunningInstance:
         return InstanceProcess(
--- a/stepsail/standins/link.py
+++ b/stepsail/standins/link.py
@@ -1,4 +1,4 @@
-"""A link between two places, with faults: bytes are delayed, throttled, cut, reset or left hanging."""
+"""Network links with faults: traffic is delayed, throttled, blocked, reset or stalled."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 
 BACKLOG = 4096
 CONNECT_TIMEOUT_S = 1.0
-MAX_IN_TRANSIT = 256  # datagrams at once; more are lost
+MAX_IN_TRANSIT = 256  # datagrams in transit at once; further ones are dropped
 
 
 class Direction(Enum):
     """A direction of a link."""
 
-    UP = auto()  # from whoever connects
+    UP = auto()  # from the client that connects to the target
     DOWN = auto()
 
 
 @dataclass
 class LinkFaults:
-    """What happens to connections made from now on. Bytes are counted for each connection and direction."""
+    """Faults of newly accepted connections; bytes are counted separately per connection and direction."""
 
     delay: float = 0.0  # s, one way
-    rate: float = 0.0  # bytes a second each way; 0: no limit
-    reset_up: int = -1  # both ends are reset after so many bytes up; -1: never
+    rate: float = 0.0  # bytes per second in each direction; 0: no limit
+    reset_up: int = -1  # bytes upstream after which both ends are reset; -1: never
     reset_down: int = -1
-    stall_up: int = -1  # nothing more goes up after so many bytes, and neither end is told; -1: never
+    stall_up: int = -1  # bytes upstream after which forwarding stops without closing; -1: never
     stall_down: int = -1
-    refuse: bool = False  # connections are reset at once
-    loss: float = 0.0  # share of the reads after which nothing more passes on a connection
+    refuse: bool = False  # reset new connections immediately
+    loss: float = 0.0  # probability per read that the direction stalls for good
 
 
 class Link:
     """Forwards each connection to `target`.
 
-    While it is cut nothing passes, or nothing in one direction and no new connection. On healing, every connection
-    that met the cut is reset.
+    A cut blocks new connections and the traffic of one or both directions. `heal` resets every connection that
+    was open at any time during the cut.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         loop: Loop,
         target: Address,
         faults: LinkFaults | None = None,
-        at: Address = ("127.0.0.1", 0),
+        listen_address: Address = ("127.0.0.1", 0),
         name: str = "link",
     ) -> None:
         self.loop = loop
@@ -56,57 +56,63 @@
         self.faults = faults or LinkFaults()
         self.name = name
         self.random = Random(f"{name} {target[0]}:{target[1]}")
-        self.listener = Listener(loop, at, BACKLOG)
+        self.listener = Listener(loop, listen_address, BACKLOG)
         self.address = self.listener.address
-        self._healed: Event | None = None  # while it is cut
+        self._healed: Event | None = None  # set when the cut ends; None while the link is not cut
         self._cut_directions: frozenset[Direction] = frozenset()
-        self._met_cut: dict[Stream, None] = {}
+        self._streams_in_cut: dict[Stream, None] = {}
         loop.spawn(self.listener.serve, self._forward, name, name=name)
 
     def cut(self, up: bool = True, down: bool = True) -> None:
-        """Let nothing pass in these directions until `heal`."""
+        """Block the given directions until `heal` is called."""
         directions = ((Direction.UP, up), (Direction.DOWN, down))
         self._cut_directions = frozenset(direction for direction, is_cut in directions if is_cut)
         if self._healed is None and self._cut_directions:
             self._healed = Event(self.loop)
-            self._met_cut |= self.listener.open_streams
+            self._streams_in_cut |= self.listener.open_streams
 
     def heal(self) -> None:
-        """End the cut; what waited or came during it is lost, as late bytes would be the network's doing."""
+        """End the cut and reset the connections that it affected.
+
+        Bytes that arrived during the cut are lost: delivering them late would be a fault of the network, not of
+        the instance under test.
+        """
         if self._healed:
             healed = self._healed
             self._healed = None
             self._cut_directions = frozenset()
-            for stream in self._met_cut | self.listener.open_streams:
+            for stream in self._streams_in_cut | self.listener.open_streams:
                 stream.abort()
-            self._met_cut.clear()
+            self._streams_in_cut.clear()
             healed.set()
 
     def close(self) -> None:
         """Close the listener and every connection."""
         self.listener.drop()
 
-    def _forward(self, near: Stream) -> None:
+    def _forward(self, client_stream: Stream) -> None:
         faults = self.faults
         if faults.refuse:
-            near.abort()
+            client_stream.abort()
             return
         if self._healed:
-            self._met_cut[near] = None
+            self._streams_in_cut[client_stream] = None
             self._healed.wait()
             return
         try:
-            far = Stream.connect(self.loop, self.target, CONNECT_TIMEOUT_S)
+            server_stream = Stream.connect(self.loop, self.target, CONNECT_TIMEOUT_S)
         except (OSError, TimedOut):
-            near.abort()
+            client_stream.abort()
             return
-        down = self.loop.spawn(self._pump, far, near, faults, Direction.DOWN, name=self.name)
+        down = self.loop.spawn(
+            self._pump, server_stream, client_stream, faults, Direction.DOWN, name=self.name
+        )
         try:
-            self._pump(near, far, faults, Direction.UP)
+            self._pump(client_stream, server_stream, faults, Direction.UP)
             down.join()
         finally:
             down.cancel()
-            far.close()
+            server_stream.close()
 
     def _pump(self, source: Stream, sink: Stream, faults: LinkFaults, direction: Direction) -> None:
         try:
@@ -116,12 +122,12 @@
             sink.abort()
 
     def _copy(self, source: Stream, sink: Stream, faults: LinkFaults, direction: Direction) -> None:
-        """Copy until the source ends, a cut is met, or a fault ends the connection."""
+        """Copy until the source ends, a cut affects this direction, or a fault ends the connection."""
         is_up = direction is Direction.UP
         reset_at = faults.reset_up if is_up else faults.reset_down
         stall_at = faults.stall_up if is_up else faults.stall_down
         fault_at = min((at for at in (reset_at, stall_at) if at >= 0), default=-1)
-        passed = 0
+        forwarded_bytes = 0
         while data := source.read():
             if self._wait_out_cut(direction):
                 return
@@ -130,22 +136,22 @@
                 if self._wait_out_cut(direction):
                     return
             if faults.loss and self.random.random() < faults.loss:
-                self.loop.park(self.loop.waiter(), "a lost exchange")
+                self.loop.park(self.loop.waiter(), "cancellation after simulated data loss")
                 return
-            if 0 <= fault_at <= passed + len(data):
-                sink.write(data[: fault_at - passed])
+            if 0 <= fault_at <= forwarded_bytes + len(data):
+                sink.write(data[: fault_at - forwarded_bytes])
                 if fault_at == reset_at:
                     source.abort()
                     sink.abort()
                 else:
-                    self.loop.park(self.loop.waiter(), "a stalled link")
+                    self.loop.park(self.loop.waiter(), "cancellation after a simulated stall")
                 return
-            passed += len(data)
+            forwarded_bytes += len(data)
             sink.write(data)
         sink.half_close()
 
     def _wait_out_cut(self, direction: Direction) -> bool:
-        """Whether this direction was cut; returns when the cut is over."""
+        """Return whether this direction is cut; if so, wait until the cut is over."""
         if self._healed and direction in self._cut_directions:
             self._healed.wait()
             return True
@@ -153,7 +159,7 @@
 
 
 class DatagramLink:
-    """Carries datagrams to one place, losing, duplicating and reordering some of them."""
+    """Forwards datagrams to one address, and drops, duplicates and reorders some of them."""
 
     def __init__(
         self,
--- a/stepsail/standins/power_loss_disk.py
+++ b/stepsail/standins/power_loss_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that loses power: unsynced data may survive whole, in part, out of order, or not at all."""
+"""An in-memory disk with power loss: unsynced data may survive in full, in part, out of order, or not at all."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, field
 from random import Random
 
-BLOCK_BYTES = 512  # a disk writes a block or does not
+BLOCK_BYTES = 512  # a disk writes a block atomically
 UNLIMITED = 1 << 40  # bytes
-LOSS_PROBABILITY = 0.5  # of each thing that was not synced
+LOSS_PROBABILITY = 0.5  # of each unsynced file name and block
 
 
 class PowerLossError(Exception):
-    """The simulated machine has lost power; nothing that runs on it handles this."""
+    """The simulated machine has lost power; code that runs on it must not catch this."""
 
 
 @dataclass
 class SimulatedFile:
-    """What was written, how many bytes of it are synced, and whether its name is."""
+    """A file's content, the number of its bytes that are synced, and whether its name is synced."""
 
     data: bytearray = field(default_factory=bytearray)
     synced_bytes: int = 0
@@ -25,15 +25,15 @@
 
 
 class PowerLossDisk:
-    """A `trail.disk.Disk` in memory.
+    """An in-memory implementation of `trail.disk.Disk`.
 
     Attributes:
-        files: By name.
-        open_files: By descriptor.
-        free_bytes: Until the disk is full.
-        call_count: Calls so far of those that change the disk.
-        errors: By number of a call, the errno with which it fails.
-        power_loss_at: The power fails before the call of this number.
+        files: Files by name.
+        open_files: Open files by descriptor.
+        free_bytes: Bytes that can be written until the disk is full.
+        call_count: Number of calls so far that change the disk.
+        errors: The errno with which a call fails, by the number of the call.
+        power_loss_at: Number of the call before which the power fails; -1 for never.
         unreadable: Names of files that cannot be read.
     """
 
@@ -48,13 +48,13 @@
         self.unreadable: set[str] = set()
 
     def _count_call(self) -> None:
-        """Count a call that changes the disk; lose power or fail where the test wants it."""
+        """Count a call that changes the disk; lose power or fail if the test has set that for this call."""
         number = self.call_count
         if number == self.power_loss_at:
             raise PowerLossError
         self.call_count += 1
         if number in self.errors:
-            raise OSError(self.errors[number], "as the test wants")
+            raise OSError(self.errors[number], "error injected by the test")
 
     def create(self, name: str) -> int:
         """Create a file and return its descriptor."""
@@ -66,7 +66,7 @@
         return self.last_descriptor
 
     def write(self, fd: int, data: bytes) -> None:
-        """Append data; on a full disk only as much as fits."""
+        """Append data; on a full disk, write only what fits and raise ENOSPC."""
         self._count_call()
         file = self.open_files[fd]
         fitting = data[: max(0, self.free_bytes)]
@@ -76,7 +76,7 @@
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def sync(self, fd: int) -> None:
-        """Sync all that was written."""
+        """Sync the content of an open file."""
         self._count_call()
         file = self.open_files[fd]
         file.synced_bytes = len(file.data)
@@ -116,17 +116,17 @@
             self.free_bytes += len(file.data)
 
     def reserve(self, name: str, size: int) -> None:
-        """Create a file that occupies so many bytes."""
+        """Create a file of `size` bytes."""
         if self.free_bytes < size:
             raise OSError(errno.ENOSPC, "No space left on device")
         self.files[name] = SimulatedFile(bytearray(size), size, True)
         self.free_bytes -= size
 
     def after_power_loss(self, random: Random, keep_all: bool = False) -> PowerLossDisk:
-        """Return the disk as it may be found after a power loss.
+        """Return a possible state of the disk after a power loss.
 
-        Synced bytes survive. Of the rest each block may be lost, and the file may be shorter; a file whose name was
-        never synced may be gone. With `keep_all` only such files are lost.
+        Synced bytes survive. Each unsynced block may be lost, and a file may be shorter. A file may be gone if
+        neither its name nor any of its bytes was synced. With `keep_all`, only such files are lost.
         """
         found = PowerLossDisk(self.free_bytes)
         for name, file in self.files.items():
@@ -142,7 +142,7 @@
 
 
 def lose_blocks(data: bytearray, synced_bytes: int, random: Random) -> None:
-    """Overwrite a drawn part of the blocks after the synced bytes with zeros."""
+    """Overwrite randomly chosen blocks after the synced bytes with zeros."""
     length = len(data)
     for start in range(synced_bytes - synced_bytes % BLOCK_BYTES, length, BLOCK_BYTES):
         if start >= synced_bytes and random.random() < LOSS_PROBABILITY:
--- a/stepsail/standins/rehearsal.py
+++ b/stepsail/standins/rehearsal.py
@@ -118,15 +118,20 @@
             ]
         if switch:
             lines += [
-                "view {}:{} reached {}:{} {{".format(*switch.homes[number], *switch.addresses[number]),
-                *("    seed {}:{}".format(*switch.addresses[n]) for n in sorted(switch.homes)[:SEEDS]),
+                "view {}:{} reached {}:{} {{".format(
+                    *switch.instance_addresses[number], *switch.port_addresses[number]
+                ),
+                *(
+                    "    seed {}:{}".format(*switch.port_addresses[n])
+                    for n in sorted(switch.instance_addresses)[:SEEDS]
+                ),
                 *([f"    period {self.day.view_period * 1000:g}ms"] if self.day.view_period else []),
                 *(["    heeded no"] if not self.day.heeded else []),
                 *(["    speak yes"] if self.day.speak else []),
                 "}",
             ]
         if switch and self.day.keepers:
-            keepers = [(n, *switch.addresses[n]) for n in range(self.day.keepers)]
+            keepers = [(n, *switch.port_addresses[n]) for n in range(self.day.keepers)]
             lines += [
                 "policy {",
                 *("    keeper {} {}:{}".format(*k) for k in keepers),
@@ -199,7 +204,7 @@
             self.transcript.add("day", "policy", keepers=self.day.keepers, bound=max_staleness())
         for proposal in self.day.changes:
             loop.spawn(self._change, world, proposal, name="change of policy", essential=True)
-        arrivals = loop.spawn(crowd.arrive, start + self.day.length, name="arrivals", essential=True)
+        arrivals = loop.spawn(crowd.start_visits, start + self.day.length, name="arrivals", essential=True)
         while not arrivals.done:
             loop.sleep(0.25)
             self.progress(
@@ -212,7 +217,7 @@
             loop.sleep(LOOK)
         self._past()
         self.transcript.add(
-            "day", "ends", visits=crowd.visits, answers=dict(crowd.verdicts), still_open=crowd.open_visits
+            "day", "ends", visits=crowd.visits, answers=dict(crowd.outcomes), still_open=crowd.open_visits
         )
 
     def _asked_keepers(self, method: bytes, body: bytes = b"") -> list[tuple[int, dict[str, Any]]]:
--- a/stepsail/standins/release_control.py
+++ b/stepsail/standins/release_control.py
@@ -1,7 +1,7 @@
-"""Stand-in release control: offers builds, moves their stages on votes, sends states.
+"""Stand-in for release control: releases builds in stages, counts votes, and publishes the release's state.
 
-It starts and drains servers through `ServerFleet`, which the run provides. A vote, or a share of the instances, moves
-a stage once the bake time has passed since the stage's servers ran.
+It starts and drains servers through `ServerFleet`, which the run provides. A stage is promoted by one vote, or
+by the votes of a share of the instances, once the bake time has passed since the servers of the stage ran.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from stepsail.standins.service import Service
 from stepsail.standins.transcript import Transcript
 
-BAKE_DELAY_S = 1.0  # from a stage's last start until its bake time begins
-REPEAT_INTERVAL_S = 2.0  # after which the present state is sent again
-CHECK_INTERVAL_S = 0.05  # between looks at a stage's starts
-VOTE_BURST_S = 2  # seconds of the vote rate that may be saved up
-RECENT_STATES = 20  # among which a newer one is looked for
+BAKE_DELAY_S = 1.0  # from the start of a stage's last server until its bake time begins
+REPEAT_INTERVAL_S = 2.0  # after which the current state is published again
+CHECK_INTERVAL_S = 0.05  # between checks of whether the servers of a stage run
+VOTE_BURST_S = 2  # burst allowance of votes, in seconds of the vote rate limit
+RECENT_STATES = 20  # number of latest published states that are compared with a state before it is published
 
 
 class Phase(StrEnum):
-    """Phases of a release, in the words of the protocol."""
+    """Phases of a release; the values are the words of the protocol."""
 
     CANARY = "trial"
     RELEASED = "released"
@@ -32,14 +32,14 @@
 
 
 class VoteVerdict(StrEnum):
-    """Verdicts of a vote, in the words of the protocol."""
+    """Verdicts of a vote; the values are the words of the protocol."""
 
     PROMOTE = "on"
     ROLL_BACK = "back"
 
 
 class Receipt(StrEnum):
-    """What became of a vote, in the words of the protocol."""
+    """Receipts of a vote: whether it was counted; the values are the words of the protocol."""
 
     COUNTED = "counted"
     RATE_LIMITED = "full"
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class ReleaseChange:
-    """A build that entered a phase or a stage."""
+    """The entry of a build into a phase or a stage."""
 
     at: float
     build: int
@@ -66,23 +66,23 @@
 
 
 class ServerFleet(Protocol):
-    """What release control can do to servers."""
+    """The operations of release control on servers."""
 
     def deploy(self, build: Build, share: float) -> None:
-        """See to it that this share of the places has this build, starting servers as needed."""
+        """Run this build on the given share of the server places, starting servers as needed."""
 
     def is_deployed(self, build: Build, share: float) -> bool:
-        """Whether they all run."""
+        """Return whether all servers of this share are running."""
 
     def roll_back(self, build: Build) -> None:
-        """Give every place of this build back to the build before it."""
+        """Replace this build by the previous one on all its server places."""
 
     def finish(self, build: Build) -> None:
-        """Drain what is left of earlier builds: this one is released."""
+        """Drain the remaining servers of earlier builds, as this build is released."""
 
 
 class ReleaseControl:
-    """Handles one release at a time; an offer rolls back a build that is still a canary."""
+    """Handles one release at a time; a new release rolls back a build that is still a canary."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         self.build = Build(1)
         self.stage = 0
         self.phase = Phase.RELEASED
-        self.since = loop.now()
+        self.state_entered_at = loop.now()
         self.history: list[ReleaseChange] = []
         self._bake_starts_at: float | None = None
         self._votes: dict[int, Vote] = {}  # by instance
@@ -110,11 +110,11 @@
         self._states: list[dict[str, Any]] = []
         self.service = Service(loop, "conveyor", self._handle)
         self._send_state()
-        loop.spawn(self._repeat_state, name="conveyor repeats")
-        loop.spawn(self._watch_stage, name="conveyor stages")
+        loop.spawn(self._repeat_state, name="release control state repeater")
+        loop.spawn(self._watch_stage, name="release control stage watcher")
 
     def exposure_limit(self) -> float:
-        """Share of the requests that the build may get now."""
+        """Return the share of the requests that the build may currently receive."""
         if self.phase == Phase.RELEASED:
             return 1.0
         return self.settings.exposure_limits[self.stage] if self.phase == Phase.CANARY else 0.0
@@ -122,7 +122,7 @@
     # The release
 
     def offer(self, build: Build) -> None:
-        """Begin the release of a build."""
+        """Start the release of a build."""
         if self.phase == Phase.CANARY:
             self._roll_back("the next build is due")
         self.build = build
@@ -132,7 +132,7 @@
         self._begin_stage()
 
     def _begin_stage(self) -> None:
-        self.since = self.loop.now()
+        self.state_entered_at = self.loop.now()
         self._bake_starts_at = None
         self._votes.clear()
         self.fleet.deploy(self.build, self.settings.stage_shares[self.stage])
@@ -152,7 +152,7 @@
 
     def _roll_back(self, reason: str) -> None:
         self.phase = Phase.ROLLING_BACK
-        self.since = self.loop.now()
+        self.state_entered_at = self.loop.now()
         self.transcript.add("conveyor", "back", build=self.build.number, why=reason)
         self.fleet.roll_back(self.build)
         self._votes.clear()
@@ -160,7 +160,7 @@
 
     def _finish(self) -> None:
         self.phase = Phase.RELEASED
-        self.since = self.loop.now()
+        self.state_entered_at = self.loop.now()
         self._votes.clear()
         self.fleet.finish(self.build)
         self._record_change()
@@ -177,17 +177,17 @@
             self._decide()
 
     def _decide(self) -> None:
-        """Roll back, or go on to the next stage, as the standing votes say."""
+        """Roll back or promote the build if enough unexpired votes ask for it."""
         now = self.loop.now()
-        standing = [vote for vote in self._votes.values() if vote.expires_at > now]
-        roll_backs = [vote for vote in standing if vote.verdict == VoteVerdict.ROLL_BACK]
+        unexpired = [vote for vote in self._votes.values() if vote.expires_at > now]
+        roll_backs = [vote for vote in unexpired if vote.verdict == VoteVerdict.ROLL_BACK]
         promotions = [
-            vote for vote in standing if vote.verdict == VoteVerdict.PROMOTE and vote.stage == self.stage
+            vote for vote in unexpired if vote.verdict == VoteVerdict.PROMOTE and vote.stage == self.stage
         ]
         needed = self._votes_needed()
         if self.phase in (Phase.CANARY, Phase.RELEASED) and len(roll_backs) >= max(1, needed // 2):
             self._roll_back("votes")
-        elif self.phase == Phase.CANARY and len(promotions) >= needed and self._has_baked(now):
+        elif self.phase == Phase.CANARY and len(promotions) >= needed and self._bake_time_passed(now):
             if self.stage + 1 < len(self.settings.stage_shares):
                 self.stage += 1
                 self._begin_stage()
@@ -199,7 +199,7 @@
             return max(1, round(self.settings.instance_count / 2))
         return 1
 
-    def _has_baked(self, now: float) -> bool:
+    def _bake_time_passed(self, now: float) -> bool:
         return self._bake_starts_at is not None and now >= self._bake_starts_at + self.settings.bake_time
 
     # States
@@ -210,7 +210,7 @@
             "stage": self.stage,
             "phase": self.phase,
             "cap": self.exposure_limit(),
-            "since": self.since,
+            "since": self.state_entered_at,
         }
 
     def _send_state(self) -> None:
@@ -218,11 +218,11 @@
         self.loop.call_later(self.delay + self.extra_delay, lambda: self._publish_state(state))
 
     def _publish_state(self, state: dict[str, Any]) -> None:
-        """Publish a state, unless a newer one has been published meanwhile."""
+        """Publish a state, unless a newer one has already been published."""
         recent = self._states[-RECENT_STATES:]
         if not any(other["since"] > state["since"] for other in recent):
             self._states.append(state)
-            self.service.change()
+            self.service.notify_change()
 
     def _repeat_state(self) -> None:
         while True:
@@ -240,13 +240,16 @@
         deadline = self.service.poll_deadline(query)
         self.service.wait_while(lambda: after >= len(self._states), deadline)
         answer: dict[str, Any] = {"seq": len(self._states)}
-        has_news = after < len(self._states)
-        if self._states and (has_news or after > len(self._states)):
+        has_newer_state = after < len(self._states)
+        if self._states and (has_newer_state or after > len(self._states)):
             answer["state"] = self._dated_state(self._states[-1], instance, after)
         return answer
 
     def _dated_state(self, state: dict[str, Any], instance: int, after: int = -1) -> dict[str, Any]:
-        """A state as it is sent; recorded with what the instance knew when it asked, and what it will know."""
+        """Return the message of a state with its age, and record the message.
+
+        The record has the sequence number that the instance already had, `after`, and the one it gets now.
+        """
         message = {name: value for name, value in state.items() if name != "since"}
         self.transcript.add(
             "conveyor", "told", umpire=instance, after=after, seq=len(self._states), **message
--- a/stepsail/standins/server_group.py
+++ b/stepsail/standins/server_group.py
@@ -1,4 +1,4 @@
-"""What the stand-in servers of one run have in common: machine, request classes, slowness, idempotency keys."""
+"""Properties shared by a run's stand-in servers: machine, request classes, slowdowns, idempotency keys."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass
 class ServerClass:
-    """What a server knows of a request class; `scope` says which servers share its idempotency keys."""
+    """A request class as a server handles it; servers in the same `scope` share its idempotency keys."""
 
     name: str
     path: str
@@ -19,7 +19,11 @@
 
 @dataclass
 class ServerShape:
-    """What kind of machine; times in seconds."""
+    """The machine of a server; times in seconds.
+
+    A server crashes if it is sent more than `overload_multiple` times its current capacity over
+    `overload_window` during its slow start.
+    """
 
     cores: int = 3
     max_queue: int = 40
@@ -32,24 +36,24 @@
 
 @dataclass
 class SharedConditions:
-    """What slows all servers alike: factors of time, and heavy requests."""
+    """Conditions that slow all servers alike: factors of the time that work takes, and heavy requests."""
 
-    slowdown: float = 1.0  # by something that all depend on
-    build_slowdown: float = 1.0  # by a build that slows all, in step with its traffic
-    heavy_share: float = 0.0  # of the requests
-    heavy_factor: float = 1.0  # of their work
+    slowdown: float = 1.0  # caused by a dependency that all servers share
+    build_slowdown: float = 1.0  # caused by a build that slows all servers in proportion to its traffic
+    heavy_share: float = 0.0  # share of the requests that are heavy
+    heavy_factor: float = 1.0  # factor of a heavy request's work
 
 
 @dataclass
 class KeyStore:
-    """The idempotency keys that a group of servers knows, with the time each was first run."""
+    """The idempotency keys that a group of servers knows, with the time at which each was first run."""
 
     times: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass
 class ServerGroup:
-    """What the servers of one run have in common."""
+    """The machine, request classes, conditions and idempotency keys that the servers of a run share."""
 
     shape: ServerShape
     classes: list[ServerClass]
--- a/stepsail/standins/service.py
+++ b/stepsail/standins/service.py
@@ -13,46 +13,51 @@
 from stepsail.loop import Event, Listener, Loop, Stream, TimedOut
 from stepsail.loop.driver import Address
 
-Handle = Callable[[str, dict[str, str], Any, Stream], Any]
+Handler = Callable[[str, dict[str, str], Any, Stream], Any]
 
 JSON = (b"content-type", b"application/json")
 BACKLOG = 10000
 IDLE_TIMEOUT_S = 300.0
 WRITE_TIMEOUT_S = 5.0
-SILENCE_CHECK_S = 0.05
-LONGEST_POLL_S = 20.0
+FAULT_CHECK_INTERVAL_S = 0.05
+MAX_POLL_S = 20.0
 
 
 class ServiceFault(Enum):
-    """What is wrong with a service."""
+    """A fault of a service."""
 
-    SILENT = auto()  # requests wait until it is over
-    ERRORS = auto()  # every answer is an error
+    SILENT = auto()  # requests wait until the fault is over
+    ERRORS = auto()  # every response has status 500
 
 
 class Service:
-    """Answers requests by `handle(path, query, body, stream)`; a handler that returns None has answered itself."""
+    """Answers requests with the result of `handle(path, query, body, stream)` as JSON.
 
-    def __init__(self, loop: Loop, name: str, handle: Handle, at: Address = ("127.0.0.1", 0)) -> None:
+    A handler that returns None has written the response to the stream itself.
+    """
+
+    def __init__(
+        self, loop: Loop, name: str, handle: Handler, listen_address: Address = ("127.0.0.1", 0)
+    ) -> None:
         self.loop = loop
         self.handle = handle
         self.fault: ServiceFault | None = None
-        self.listener = Listener(loop, at, BACKLOG)
+        self.listener = Listener(loop, listen_address, BACKLOG)
         self.address = self.listener.address
         self.changed = Event(loop)
         loop.spawn(self.listener.serve, self._serve, name, name=name)
 
-    def change(self) -> None:
-        """Wake the long polls."""
+    def notify_change(self) -> None:
+        """Wake all long polls, because the data has changed."""
         self.changed.set()
         self.changed = Event(self.loop)
 
     def poll_deadline(self, query: dict[str, str]) -> float:
-        """Until when a long poll with this query waits."""
-        return self.loop.now() + min(LONGEST_POLL_S, float(query.get("wait", "0")))
+        """Return the time until which a long poll with this query waits."""
+        return self.loop.now() + min(MAX_POLL_S, float(query.get("wait", "0")))
 
     def wait_while(self, unchanged: Callable[[], bool], deadline: float) -> None:
-        """Hold a long poll until there is something new or its time is over."""
+        """Block a long poll while `unchanged()` is true, at most until its deadline."""
         while unchanged() and self.loop.now() < deadline:
             try:
                 self.changed.wait(deadline - self.loop.now())
@@ -69,7 +74,7 @@
             if request is None:
                 return
             while self.fault is ServiceFault.SILENT:
-                self.loop.sleep(SILENCE_CHECK_S)
+                self.loop.sleep(FAULT_CHECK_INTERVAL_S)
             if self.fault is ServiceFault.ERRORS:
                 stream.write(encode_response(500, []), WRITE_TIMEOUT_S)
                 continue
--- a/stepsail/standins/switch.py
+++ b/stepsail/standins/switch.py
@@ -1,8 +1,8 @@
-"""The datagrams between instances: one port for each instance, which carries what the others send it, with faults.
+"""A datagram switch with faults between instances: one port per instance, which receives its datagrams.
 
-Whoever wants to reach instance B sends to B's port here; the switch knows the sender by the address it sends from and
-hands the datagram on from the sender's own port, so that B answers through the switch as well: N ports serve N
-squared paths, each of which can be cut in one direction.
+An instance reaches instance B by sending to B's port on the switch. The switch identifies the sender by its
+source address and forwards the datagram from the sender's own port, so that B answers through the switch as
+well. In this way N ports serve N squared paths, each of which can be cut in one direction.
 """
 
 from __future__ import annotations
@@ -16,58 +16,66 @@
 from stepsail.loop import Datagrams, Loop
 from stepsail.loop.driver import Address
 
-MAX_IN_TRANSIT = 20_000  # datagrams at once; more are lost
-REPLAY_MEMORY = 400  # datagrams of the past that may be sent again
+MAX_IN_TRANSIT = 20_000  # datagrams in transit at once; further ones are dropped
+MAX_REPLAYABLE_DATAGRAMS = 400  # number of recent datagrams from which replays are chosen
 
-Path = tuple[int, int]  # sender and receiver, by their numbers
+NetworkPath = tuple[int, int]  # numbers of the sending and the receiving instance
 
 
 @dataclass
 class DatagramFaults:
-    """What happens to every datagram. Shares from 0 to 1, times in seconds, one way."""
+    """Faults of every datagram. Probabilities range from 0 to 1; delays are one-way, in seconds."""
 
     loss: float = 0.0
     duplication: float = 0.0
     delay: tuple[float, float] = (0.0003, 0.001)
-    replay: float = 0.0  # share of the datagrams beside which an old one, between any two, is sent again
+    replay: float = 0.0  # probability that a datagram also triggers a replay of a recent one on any path
 
 
 class DatagramSwitch:
-    """Connects instances.
+    """Forwards datagrams between instances.
 
     Attributes:
-        homes: Where each instance truly listens, by number.
-        addresses: Where the others reach it.
+        instance_addresses: The address on which each instance listens, by instance number.
+        port_addresses: The address of each instance's port on the switch, to which the other instances send.
     """
 
-    def __init__(self, loop: Loop, random: Random, homes: dict[int, Address], at: dict[int, Address]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        random: Random,
+        instance_addresses: dict[int, Address],
+        port_addresses: dict[int, Address],
+    ) -> None:
         self.loop = loop
         self.random = random
-        self.homes = homes
+        self.instance_addresses = instance_addresses
         self.faults = DatagramFaults()
         self.delivered = 0
         self.unknown_senders = 0
-        self._senders = {address: number for number, address in homes.items()}
-        self._cuts: dict[int, frozenset[Path]] = {}  # by whoever made them
-        self._recent: deque[tuple[int, int, bytes]] = deque(maxlen=REPLAY_MEMORY)
+        self._senders = {address: number for number, address in instance_addresses.items()}
+        self._cuts: dict[int, frozenset[NetworkPath]] = {}  # by owner
+        self._recent: deque[tuple[int, int, bytes]] = deque(maxlen=MAX_REPLAYABLE_DATAGRAMS)
         self._in_transit = 0
-        self._ports = {number: Datagrams(loop, at[number]) for number in homes}
-        self.addresses = {number: port.address for number, port in self._ports.items()}
-        for number in homes:
+        self._ports = {number: Datagrams(loop, port_addresses[number]) for number in instance_addresses}
+        self.port_addresses = {number: port.address for number, port in self._ports.items()}
+        for number in instance_addresses:
             loop.spawn(self._forward, number, name=f"switch {number}")
 
-    def cut(self, owner: int, paths: Iterable[Path]) -> None:
-        """Let nothing pass on these paths until `heal(owner)`."""
+    def cut(self, owner: int, paths: Iterable[NetworkPath]) -> None:
+        """Block these paths until `heal(owner)`; replaces an earlier cut of the same owner."""
         self._cuts[owner] = frozenset(paths)
 
     def heal(self, owner: int) -> None:
-        """End the cut of this owner."""
+        """End the cut of this owner; cuts of other owners remain."""
         self._cuts.pop(owner, None)
 
-    def paths_across(self, side: Collection[int], outbound: bool = True, inbound: bool = True) -> list[Path]:
-        """All paths from this side to the other instances, and back."""
-        others = [number for number in self.homes if number not in side]
-        paths: list[Path] = []
+    def paths_across(
+        self, side: Collection[int], outbound: bool = True, inbound: bool = True
+    ) -> list[NetworkPath]:
+        """Return the paths from the instances of `side` to all others (outbound) and back (inbound)."""
+        others = [number for number in self.instance_addresses if number not in side]
+        paths: list[NetworkPath] = []
         if outbound:
             paths += [(a, b) for a in side for b in others]
         if inbound:
@@ -99,4 +107,4 @@
         self._in_transit -= 1
         if not any((sender, receiver) in paths for paths in self._cuts.values()):
             self.delivered += 1
-            self._ports[sender].send(data, self.homes[receiver])
+            self._ports[sender].send(data, self.instance_addresses[receiver])
--- a/stepsail/standins/transcript.py
+++ b/stepsail/standins/transcript.py
@@ -1,4 +1,4 @@
-"""The transcript of a run: what crossed the sockets, one JSON object a line, on one monotonic clock."""
+"""The transcript of a run: its events, one JSON object per line, dated by one monotonic clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class Transcript:
-    """Writes lines with `t` (s), `at` (which end) and `what`, in order of time; without a file, keeps them."""
+    """Writes lines in order of time, or collects them in `lines` if there is no file.
+
+    Each line has the time `t` in seconds, the component that recorded it (`at`) and the event (`what`).
+    """
 
     def __init__(self, loop: Loop, file: Path | None = None) -> None:
         self.loop = loop
@@ -22,7 +25,7 @@
         self._buffer = bytearray()
 
     def add(self, at: str, what: str, **fields: Any) -> None:
-        """Add one line, dated now."""
+        """Add a line with the current time."""
         line = {"t": round(self.loop.now(), 6), "at": at, "what": what, **fields}
         if self._output is None:
             self.lines.append(line)
@@ -32,14 +35,14 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what is buffered."""
+        """Write the buffered lines to the file."""
         if self._output:
             self._output.write(self._buffer)
             self._output.flush()
             self._buffer.clear()
 
     def close(self) -> None:
-        """Write what is buffered and close the file."""
+        """Write the buffered lines and close the file."""
         self.flush()
         if self._output:
             self._output.close()
--- a/stepsail/standins/world.py
+++ b/stepsail/standins/world.py
@@ -285,7 +285,7 @@
             boxes = self.boxes()
             bad = [b for b in boxes if b.build.kind == "shared"]
             part = sum(len(b.running) for b in bad) / max(1, sum(len(b.running) for b in boxes))
-            size = bad[0].build.size if bad else 1.0
+            size = bad[0].build.severity if bad else 1.0
             goal = 1 + (size - 1) * min(1.0, part * 4)
             self.conditions.build_slowdown += (goal - self.conditions.build_slowdown) * 0.1 / SHARED_WINDOW
 
--- a/tests/standins/test_links.py
+++ b/tests/standins/test_links.py
@@ -1,4 +1,4 @@
-"""Faulty links to servers: whichever byte a fault hits, a non-idempotent request runs at most once."""
+"""Faulty links to servers: at whichever byte a fault occurs, a non-idempotent request runs at most once."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     return links
 
 
-@pytest.mark.parametrize("way", ["up", "down"])
-def test_reset_at_any_byte_runs_a_non_idempotent_request_at_most_once(tmp_path: Path, way: str) -> None:
+@pytest.mark.parametrize("direction", ["up", "down"])
+def test_reset_at_any_byte_runs_a_non_idempotent_request_at_most_once(tmp_path: Path, direction: str) -> None:
     def test(rig: Rig) -> None:
-        for at in (0, 1, 20, 80, 150, 200):
+        for fault_at in (0, 1, 20, 80, 150, 200):
             put_links_before_servers(
-                rig, LinkFaults(reset_up=at) if way == "up" else LinkFaults(reset_down=at)
+                rig, LinkFaults(reset_up=fault_at) if direction == "up" else LinkFaults(reset_down=fault_at)
             )
             before = rig.requests_seen()
             answer = rig.request("POST", "/pay", b'{"a":1}', left=1.0)
@@ -45,10 +45,11 @@
 
 
 @pytest.mark.parametrize("faults", HALF_OPEN)
-def test_half_open_link_ends_in_one_answer_within_the_client_timeout(
+def test_request_over_a_half_open_link_gets_one_answer_within_the_client_timeout(
     tmp_path: Path, faults: LinkFaults
 ) -> None:
-    # In virtual time: a machine that takes the processor away across the give-up is no fault of a link.
+    # Runs in virtual time: on real sockets, a pause of the test process could exceed the time limit although the
+    # link and the instance are correct.
     def test(rig: Rig) -> None:
         put_links_before_servers(rig, faults)
         start = rig.loop.now()
@@ -59,8 +60,9 @@
 
 
 @pytest.mark.parametrize("faults", HALF_OPEN)
-def test_half_open_link_ends_in_one_answer_on_sockets(tmp_path: Path, faults: LinkFaults) -> None:
-    # A process that stood still across the give-up reset the connection in place of answering.
+def test_request_over_a_half_open_link_gets_one_answer_on_sockets(tmp_path: Path, faults: LinkFaults) -> None:
+    # Guards against this failure: a process that was paused while the request's deadline passed reset the
+    # client's connection instead of responding.
     def test(rig: Rig) -> None:
         put_links_before_servers(rig, faults)
         assert rig.request("POST", "/pay", b"{}", left=0.5).status == 504
@@ -69,7 +71,7 @@
     Rig(tmp_path, test, [answers(), answers()])
 
 
-def test_slow_link_only_takes_longer(tmp_path: Path) -> None:
+def test_slow_link_delays_a_request_and_loses_nothing(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
         put_links_before_servers(rig, LinkFaults(delay=0.02, rate=20000))
         assert rig.request("POST", "/pay", bytes(2000)).status == 200
@@ -78,7 +80,7 @@
     Rig(tmp_path, test, [answers()])
 
 
-def test_connections_that_meet_a_cut_are_lost_and_later_ones_served(tmp_path: Path) -> None:
+def test_connections_during_a_cut_are_lost_and_later_ones_served(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
         links = put_links_before_servers(rig, LinkFaults())
         assert rig.request("GET", "/look").status == 200
@@ -89,28 +91,31 @@
         for link in links:
             link.heal()
         rig.loop.sleep(0.1)
-        assert rig.requests_seen() == seen  # nothing of the cut arrives late
-        rig.loop.sleep(2.5)  # the rest of the silent servers is over
+        assert rig.requests_seen() == seen  # no request sent during the cut arrives late
+        rig.loop.sleep(2.5)  # after this the router uses the unresponsive servers again
         assert rig.request("POST", "/pay", b"{}").status == 200
 
     Rig(tmp_path, test, [answers(), answers()])
 
 
-@pytest.mark.parametrize(("up", "ran"), [(True, 0), (False, 1)])
-def test_cut_in_one_direction_loses_the_request_or_the_response(tmp_path: Path, up: bool, ran: int) -> None:
+@pytest.mark.parametrize(("up", "expected_runs"), [(True, 0), (False, 1)])
+def test_cut_in_one_direction_loses_the_request_or_the_response(
+    tmp_path: Path, up: bool, expected_runs: int
+) -> None:
     def test(rig: Rig) -> None:
         links = put_links_before_servers(rig, LinkFaults())
-        assert rig.request("POST", "/pay", b"{}").status == 200  # a connection stands
+        assert rig.request("POST", "/pay", b"{}").status == 200  # leaves a connection open for reuse
         before = rig.requests_seen()
         for link in links:
             link.cut(up=up, down=not up)
         assert (
             rig.request("POST", "/pay", b"{}", left=0.4).status == 504
-        )  # may have run, for all that the umpire knows
-        assert rig.requests_seen() - before == ran
-        links[0].cut(up=not up)  # then the other direction as well: nothing more gets through
+        )  # the instance cannot know whether the request ran
+        assert rig.requests_seen() - before == expected_runs
+        links[0].cut(up=not up)  # the cut now includes the other direction: still no further request runs
         assert (
-            rig.request("POST", "/pay", b"{}", left=0.4).status == 504 and rig.requests_seen() - before == ran
+            rig.request("POST", "/pay", b"{}", left=0.4).status == 504
+            and rig.requests_seen() - before == expected_runs
         )
 
     Rig(tmp_path, test, [answers()])
@@ -124,9 +129,13 @@
             near.send(b"%d" % number, link.address)
             rig.loop.sleep(0.001)
         rig.loop.sleep(0.05)
-        got = []
+        received = []
         while (found := far.port.recvfrom(100)) is not None:
-            got.append(int(found[0]))
-        assert len(set(got)) < 100 < len(got) + 40 and len(got) > len(set(got)) and got != sorted(got)
+            received.append(int(found[0]))
+        assert (
+            len(set(received)) < 100 < len(received) + 40
+            and len(received) > len(set(received))
+            and received != sorted(received)
+        )
 
     Rig(tmp_path, test, [answers()])
