--- a/bench/fleet_gain.py
+++ b/bench/fleet_gain.py
@@ -26,7 +26,7 @@
 
 def measure(file: Path, seed: int, heeded: bool) -> dict[str, float]:
     """One play; times of releases count as the day's length where they did not come."""
-    day = replace(read_day(file, seed), heeded=heeded)
+    day = replace(read_day(file, seed), used_by_router=heeded)
     with tempfile.TemporaryDirectory() as out:
         play(day, Path(out))
         history = read_history(Path(out) / "transcript.jsonl")
--- a/bench/fleet_times.py
+++ b/bench/fleet_times.py
@@ -62,7 +62,7 @@
 
 
 def measure(file: Path, size: int, seed: int, out: Path, processes: bool) -> dict[str, Any]:
-    day = replace(read_day(file, seed), umpires=size)
+    day = replace(read_day(file, seed), instance_count=size)
     began = cpu()
     if processes:
         words, lasted = on_processes(day, out)
--- a/stepsail/cli/hunts.py
+++ b/stepsail/cli/hunts.py
@@ -76,10 +76,10 @@
         reason = f"rule {', '.join(map(str, sorted(rules)))} broken"
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / f"{row['day']}-{row['seed']}.conf"
-    site = Path(os.path.relpath(day.site.resolve(), folder.resolve()))
+    site = Path(os.path.relpath(day.common_settings.resolve(), folder.resolve()))
     heading = f"# Found by a hunt: {reason}, commit {row['commit']}.\n"
     file.write_text(heading + day_file_text(day, site), "utf-8")
-    click.echo(f"  {file}: {len(day.troubles)} faults, {len(day.offers)} new builds, {day.length:g} s")
+    click.echo(f"  {file}: {len(day.faults)} faults, {len(day.releases)} new builds, {day.length:g} s")
 
 
 def _broken_rules(day: Day) -> set[int]:
--- a/stepsail/experiment/hunt.py
+++ b/stepsail/experiment/hunt.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from stepsail.standins.builds import Build
-from stepsail.standins.day import Day, Trouble
+from stepsail.standins.day import Day, Fault
 
 MAX_PLAYS = 60  # that shrinking one day may take
 MIN_LENGTH = 3.0  # s of a shortened day
@@ -38,36 +38,36 @@
     yield f"site {json.dumps(str(site))}"
     yield f"length {_number(day.length)}s"
     yield f"seed {day.seed}"
-    yield f"umpires {day.umpires}"
+    yield f"umpires {day.instance_count}"
 
 
 def _server_lines(day: Day) -> Iterator[str]:
     shape = day.shape
     yield "boxes {"
-    yield f"    count {day.places}"
+    yield f"    count {day.place_count}"
     yield f"    cores {shape.cores}"
     yield f"    queue {shape.max_queue}"
     yield f"    fall-for {_number(shape.overload_window)}s"
     yield f"    report-every {_number(shape.report_interval)}s"
-    yield f"    boot {_number(day.boot)}s"
-    yield f"    drain-for {_number(day.drain_for)}s"
+    yield f"    boot {_number(day.boot_duration)}s"
+    yield f"    drain-for {_number(day.drain_duration)}s"
     yield "}"
 
 
 def _traffic_lines(day: Day) -> Iterator[str]:
     for name, (share, work) in day.demand.items():
         yield f"demand {name} share {_number(share)} work {_number(work)}s"
-    yield f"traffic {_number(day.traffic)}"
-    yield f"roster-late {_number(day.roster_late)}s"
-    yield f"news-late {_number(day.news_late)}s"
-    yield f"cross-delay {_number(day.cross_delay)}s"
+    yield f"traffic {_number(day.request_rate)}"
+    yield f"roster-late {_number(day.discovery_delay)}s"
+    yield f"news-late {_number(day.release_control_delay)}s"
+    yield f"cross-delay {_number(day.cross_zone_delay)}s"
     yield f"notice {_number(day.notice)}s"
-    yield f"uneven {_number(day.uneven)}"
-    yield f"retries {day.manners.retries}"
+    yield f"uneven {_number(day.balancer_skew)}"
+    yield f"retries {day.client_behavior.retries}"
 
 
 def _release_lines(day: Day) -> Iterator[str]:
-    for at, build in day.offers:
+    for at, build in day.releases:
         request_class = f" product {build.failing_class}" if build.failing_class else ""
         yield (
             f"offer at {_number(at)}s {build.kind} size {_number(build.severity)}{request_class} "
@@ -76,25 +76,25 @@
 
 
 def _trouble_lines(day: Day) -> Iterator[str]:
-    for trouble in day.troubles:
+    for trouble in day.faults:
         yield (
             f"trouble {trouble.kind} at {_number(trouble.at)}s for {_number(trouble.length)}s "
-            f"of {trouble.of} size {_number(trouble.size)} part {_number(trouble.part)}"
+            f"of {trouble.target} size {_number(trouble.size)} part {_number(trouble.share)}"
         )
 
 
 def simpler_days(day: Day) -> list[Day]:
     """Days that are simpler than this one, the greatest cuts first (delta debugging, Zeller and Hildebrandt 2002)."""
     return [
-        *(replace(day, troubles=troubles) for troubles in _fewer_troubles(day.troubles)),
-        *(replace(day, offers=offers) for offers in _fewer_releases(day.offers)),
+        *(replace(day, faults=troubles) for troubles in _fewer_troubles(day.faults)),
+        *(replace(day, releases=offers) for offers in _fewer_releases(day.releases)),
         *(replace(day, length=length) for length in _shorter_lengths(day)),
         *_fewer_instances(day),
-        *(replace(day, troubles=troubles) for troubles in _shorter_troubles(day.troubles)),
+        *(replace(day, faults=troubles) for troubles in _shorter_troubles(day.faults)),
     ]
 
 
-def _fewer_troubles(troubles: list[Trouble]) -> Iterator[list[Trouble]]:
+def _fewer_troubles(troubles: list[Fault]) -> Iterator[list[Fault]]:
     if len(troubles) > 1:
         middle = len(troubles) // 2
         yield troubles[:middle]
@@ -109,7 +109,7 @@
 
 
 def _shorter_lengths(day: Day) -> Iterator[float]:
-    ends = [at for at, _ in day.offers] + [trouble.at + trouble.length for trouble in day.troubles]
+    ends = [at for at, _ in day.releases] + [trouble.at + trouble.length for trouble in day.faults]
     last = max(ends, default=0.0)
     for length in (day.length / 2, last + LENGTH_AFTER_LAST):
         if MIN_LENGTH <= length < MAX_LENGTH_SHARE * day.length:
@@ -117,11 +117,11 @@
 
 
 def _fewer_instances(day: Day) -> Iterator[Day]:
-    if day.umpires > 1 and not any(trouble.kind in INSTANCE_TROUBLES for trouble in day.troubles):
-        yield replace(day, umpires=max(1, day.umpires // 2))
+    if day.instance_count > 1 and not any(trouble.kind in INSTANCE_TROUBLES for trouble in day.faults):
+        yield replace(day, instance_count=max(1, day.instance_count // 2))
 
 
-def _shorter_troubles(troubles: list[Trouble]) -> Iterator[list[Trouble]]:
+def _shorter_troubles(troubles: list[Fault]) -> Iterator[list[Fault]]:
     for index, trouble in enumerate(troubles):
         if trouble.length > MIN_HALVED_TROUBLE:
             halved = replace(trouble, length=round(trouble.length / 2, 3))
--- a/stepsail/experiment/run.py
+++ b/stepsail/experiment/run.py
@@ -70,7 +70,7 @@
 def settings_hash(day: Day, file: Path) -> str:
     """A hash over a day's files: its own, those that it includes, and the site's."""
     texts: list[str] = []
-    waiting = [file, day.site]
+    waiting = [file, day.common_settings]
     while waiting:
         path = waiting.pop()
         text = path.read_text("utf-8")
@@ -98,7 +98,7 @@
     try:
         day = read_day(Path(run.day), run.seed)
         if run.umpires:
-            day.umpires = run.umpires
+            day.instance_count = run.umpires
         row |= _day_columns(day, Path(run.day))
         _reset_peak_memory()
         played = play(day, out, MODULES[run.module])
@@ -113,12 +113,12 @@
 def _day_columns(day: Day, file: Path) -> Row:
     return {
         "settings": settings_hash(day, file),
-        "umpires": day.umpires,
-        "boxes": day.places,
-        "traffic": day.traffic,
+        "umpires": day.instance_count,
+        "boxes": day.place_count,
+        "traffic": day.request_rate,
         "length": day.length,
-        "troubles": " ".join(sorted({trouble.kind for trouble in day.troubles})),
-        "offers": " ".join(build.kind for _, build in day.offers),
+        "troubles": " ".join(sorted({trouble.kind for trouble in day.faults})),
+        "offers": " ".join(build.kind for _, build in day.releases),
     }
 
 
--- a/stepsail/standins/day.py
+++ b/stepsail/standins/day.py
@@ -1,4 +1,7 @@
-"""A day as data: fleet, traffic, offers and troubles, in the same line-based form as the settings."""
+"""Reads day files: the servers, instances, traffic, releases and faults of a run.
+
+Day files have the same line-based syntax as settings files.
+"""
 
 from __future__ import annotations
 
@@ -15,49 +18,51 @@
 from stepsail.standins.clients import ClientBehavior
 from stepsail.standins.server_group import ServerShape
 
-TROUBLES = {
-    "kill-box": "A box's process dies and comes back cold.",
-    "stall-box": "A box stands still.",
-    "drain-box": "A box is drained, leaves, and a new one takes its place.",
+FAULTS = {
+    "kill-box": "A server's process is killed and starts again cold.",
+    "stall-box": "A server stalls.",
+    "drain-box": "A server is drained and stops, and a new one replaces it.",
     "cut-zone": "A zone is cut off from the others.",
-    "kill-umpire": "An umpire is killed and started again.",
-    "stop-umpire": "An umpire's process stands still.",
+    "kill-umpire": "An instance is killed and started again.",
+    "stop-umpire": "An instance's process is paused.",
     "stall-conveyor": "Release control answers nothing.",
     "break-conveyor": "Release control answers with errors.",
-    "late-news": "News comes later by so much.",
-    "slow-all": "Every box is slower by so much.",
-    "burst": "Traffic grows by so much.",
-    "stall-roster": "The roster answers nothing.",
-    "kill-boxes": "A part of the boxes dies at once and comes back cold.",
-    "kill-zone": "All boxes of a zone die at once and come back cold.",
-    "pause-boxes": "A part of the boxes stands still for so long (size, s), again and again.",
-    "noisy-boxes": "A part of the boxes loses so much of its capacity (size, a share) to a neighbour.",
-    "heavy-work": "A part of the transactions takes so many times the work (size).",
-    "restart-umpires": "A part of the umpires is killed, one after the other, each back within 2 s.",
-    "pause-umpires": "A part of the umpires stands still for so long (size, s), every 2 to 4 s.",
-    "slow-zone": "The ways to a zone take longer (size, s) and lose a part of what is sent.",
-    "leave-umpires": "A part of the umpires is told to leave, one after the other, each back within 2 s of its end.",
-    "kill-umpires": "A part of the umpires is killed at once, and started again when it is over.",
-    "stop-umpires": "A part of the umpires stands still at once.",
-    "cut-umpires": "A part of the umpires can neither speak to the others nor hear them.",
-    "mute-umpires": "What a part of the umpires says reaches none of the others.",
-    "deafen-umpires": "What the others say reaches none of a part of the umpires.",
-    "flap-umpires": "A part of the umpires is cut off and back again, by turns of so long (size, s).",
-    "cut-ways": "A part of the umpires can neither reach boxes, release control and roster nor hear them; of 1, 2, "
-    "3: one of these.",
-    "mute-ways": "What a part of the umpires sends to them is lost, and connections are not made.",
-    "deafen-ways": "What they send to a part of the umpires is lost, and connections are not made.",
-    "lose-kept": "An umpire is killed, its kept files are lost, and it starts again.",
-    "tear-kept": "An umpire is killed, its kept files are cut short, and it starts again.",
-    "fill-kept": "An umpire's disk is full: nothing that it keeps can be written.",
-    "lose-words": "A part of all words between umpires is lost.",
-    "double-words": "A part of all words between umpires comes twice.",
-    "late-words": "Words between umpires take up to so much longer (size, s), and overtake each other.",
-    "old-words": "Beside a part of all words between umpires an old one comes again.",
-    "retry-storm": "Clients try so many times more (size), at once.",
-    "curve": "Traffic rises to so many times the usual and falls again, as a day does.",
+    "late-news": "States of release control arrive later (size, s).",
+    "slow-all": "All servers are slower (size, a factor).",
+    "burst": "Traffic grows (size, a factor).",
+    "stall-roster": "Endpoint discovery answers nothing.",
+    "kill-boxes": "A share of the servers is killed at once and starts again cold.",
+    "kill-zone": "All servers of a zone are killed at once and start again cold.",
+    "pause-boxes": "A share of the servers is paused repeatedly (size, s for each pause).",
+    "noisy-boxes": "A share of the servers loses capacity (size, a share) to a noisy neighbour.",
+    "heavy-work": "A share of the requests takes more work (size, a factor).",
+    "restart-umpires": "A share of the instances is killed one after the other; each is back within 2 s.",
+    "pause-umpires": "A share of the instances is paused (size, s), every 2 to 4 s.",
+    "slow-zone": "Links to a zone take longer (size, s) and lose a share of what is sent.",
+    "leave-umpires": "A share of the instances shuts down one after the other; each is back within 2 s of "
+    "its exit.",
+    "kill-umpires": "A share of the instances is killed at once, and started again at the end of the fault.",
+    "stop-umpires": "A share of the instances is paused at once.",
+    "cut-umpires": "A share of the instances can neither send datagrams to the others nor receive theirs.",
+    "mute-umpires": "Datagrams from a share of the instances do not reach the others.",
+    "deafen-umpires": "Datagrams from the other instances do not reach a share of the instances.",
+    "flap-umpires": "A share of the instances is alternately cut off and reconnected (size, s for each).",
+    "cut-ways": "A share of the instances can exchange nothing with servers, release control and endpoint "
+    "discovery; of 1, 2, 3: with only one of these.",
+    "mute-ways": "Data from a share of the instances to these targets is lost, and connections fail.",
+    "deafen-ways": "Data from these targets to a share of the instances is lost, and connections fail.",
+    "lose-kept": "An instance is killed, its endpoint cache is deleted, and it starts again.",
+    "tear-kept": "An instance is killed, its endpoint cache is truncated, and it starts again.",
+    "fill-kept": "An instance's disk is full: it cannot write its endpoint cache.",
+    "lose-words": "A share of all datagrams between instances is lost.",
+    "double-words": "A share of all datagrams between instances is delivered twice.",
+    "late-words": "Datagrams between instances are delayed by up to so much more (size, s) and reordered.",
+    "old-words": "A share of all datagrams between instances is accompanied by the replay of an old one.",
+    "retry-storm": "Clients retry more often (size, a number of retries), and at once.",
+    "curve": "Traffic rises to a multiple of the usual (size) and falls again, like a daily curve.",
 }
-WORD_TROUBLES = (
+# Faults of the datagrams between instances.
+DATAGRAM_FAULTS = (
     "cut-umpires",
     "mute-umpires",
     "deafen-umpires",
@@ -66,55 +71,59 @@
     "double-words",
     "late-words",
     "old-words",
-)  # of the words between umpires
-WAY_TROUBLES = ("cut-ways", "mute-ways", "deafen-ways")  # of the ways from an umpire to all that is no umpire
-KEPT_TROUBLES = ("lose-kept", "tear-kept", "fill-kept")  # of what an umpire keeps on disk
-MOST_DRAWN = 64  # troubles of a day
+)
+# Faults of the links from an instance to servers, release control and endpoint discovery.
+LINK_FAULTS = ("cut-ways", "mute-ways", "deafen-ways")
+# Faults of the file in which an instance caches the endpoint list.
+ENDPOINT_CACHE_FAULTS = ("lose-kept", "tear-kept", "fill-kept")
+MAX_FAULTS = 64  # in one day
 
-BOXES = (
+SERVER_SETTINGS = (
     Setting(
         "count",
-        "Places for boxes, spread over the zones.",
+        "Number of places for servers, spread over the zones.",
         (argument("count", "whole", minimum=1, maximum=500),),
         required=True,
     ),
-    Setting("cores", "Cores of each.", (argument("cores", "whole", minimum=1, maximum=256),), default=3),
+    Setting(
+        "cores", "Cores of each server.", (argument("cores", "whole", minimum=1, maximum=256),), default=3
+    ),
     Setting(
         "queue",
-        "Transactions that may wait in each; more are turned away unrun.",
+        "Requests that may wait in each server; more are rejected.",
         (argument("most", "whole"),),
         default=40,
     ),
     Setting(
         "fall-for",
-        "A cold box that is sent too much for this time falls over.",
+        "Time of overload after which a server that is warming up fails.",
         (argument("time", "time", **TIME_BOUNDS),),
         default=1.5,
     ),
     Setting(
         "report-every",
-        "Age that a load report may have.",
+        "Age at which a load report is renewed.",
         (argument("time", "time", **TIME_BOUNDS),),
         default=0.3,
     ),
     Setting(
         "boot",
-        "Time that a new process takes to run.",
+        "Time that a new server takes to start.",
         (argument("time", "time", **TIME_BOUNDS),),
         default=1.5,
     ),
     Setting(
         "drain-for",
-        "Time that a drained box still runs.",
+        "Time that a drained server still runs.",
         (argument("time", "time", **TIME_BOUNDS),),
         default=2.0,
     ),
 )
 
-WORDS = (
+DAY_SETTINGS = (
     Setting(
         "site",
-        "File of the umpires' common settings, beside this one.",
+        "File of the instances' common settings, in the same folder as this one.",
         (argument("file", "text"),),
         required=True,
     ),
@@ -124,17 +133,17 @@
         (argument("time", "time", **TIME_BOUNDS),),
         required=True,
     ),
-    Setting("seed", "Seed of the day's chance.", (argument("number", "whole"),), default=1),
+    Setting("seed", "Seed of all random choices of the day.", (argument("number", "whole"),), default=1),
     Setting(
         "umpires",
-        "How many, spread over the zones.",
+        "Number of instances, spread over the zones.",
         (argument("count", "wholes", minimum=1, maximum=1000),),
         required=True,
     ),
-    Setting("boxes", "The fleet.", (), BOXES, required=True),
+    Setting("boxes", "The servers.", (), SERVER_SETTINGS, required=True),
     Setting(
         "demand",
-        "A product's share of the traffic and its mean work on one core.",
+        "A request class's share of the traffic and its mean work on one core.",
         (
             argument("product", "text"),
             argument("share", "share", keyword="share", **SHARE_BOUNDS),
@@ -144,75 +153,75 @@
         required=True,
     ),
     Setting(
-        "traffic", "Transactions a second.", (argument("rate", "numbers", exclusiveMinimum=0),), required=True
+        "traffic", "Requests per second.", (argument("rate", "numbers", exclusiveMinimum=0),), required=True
     ),
     Setting(
         "troubles",
-        "How many of the troubles below befall the day; absent: all.",
-        (argument("count", "wholes", maximum=MOST_DRAWN),),
+        "Number of the faults below that occur, chosen at random; if absent, all.",
+        (argument("count", "wholes", maximum=MAX_FAULTS),),
     ),
     Setting(
         "roster-late",
-        "Time from a change to its listing.",
+        "Time from a change of a server to its entry in the endpoint list.",
         (argument("time", "time", **TIME_BOUNDS),),
         default=0.8,
     ),
     Setting(
         "news-late",
-        "Time from a change to its news.",
+        "Time from a change of a release to its state message.",
         (argument("time", "time", **TIME_BOUNDS),),
         default=0.4,
     ),
     Setting(
         "cross-delay",
-        "Time one way between zones.",
+        "One-way network delay between zones.",
         (argument("time", "time", **TIME_BOUNDS),),
         default=0.001,
     ),
     Setting(
         "notice",
-        "Time that the front goes on sending to a dead umpire.",
+        "Time for which the load balancer goes on sending to an instance that has died.",
         (argument("time", "time", **TIME_BOUNDS),),
         default=1.5,
     ),
     Setting(
         "view",
-        "Umpires keep a view of the fleet, and the rig carries their words.",
+        "Whether instances take part in the fleet's membership; their datagrams pass a simulated network.",
         (argument("yes", "yes"),),
         default=False,
     ),
     Setting(
         "view-period",
-        "Time between an umpire's probes of the others.",
+        "Time between two membership probes by an instance.",
         (argument("time", "time", **TIME_BOUNDS),),
     ),
     Setting(
         "heeded",
-        "Umpires' decisions go by that view; 'no': by what the settings say.",
+        "Whether the router uses the current members; 'no': it uses the number of instances in the settings.",
         (argument("yes", "yes"),),
         default=True,
     ),
     Setting(
         "speak",
-        "Umpires tell each other what they saw of builds, by that view.",
+        "Whether instances also gossip the outcomes of attempts to the members.",
         (argument("yes", "yes"),),
         default=False,
     ),
     Setting(
         "told",
-        "How many umpires the settings name, in place of the true number; those beyond it were told of "
-        "themselves.",
+        "Number of instances in the settings, in place of the true number; an instance with a higher number "
+        "has the settings for one more than its own number.",
         (argument("count", "whole", minimum=1, maximum=1000),),
     ),
     Setting(
         "keepers",
-        "So many umpires keep an order of changes of policy, by the view's ports.",
+        "Number of instances that vote on policy changes; their messages use the ports of 'view'.",
         (argument("count", "whole", minimum=3, maximum=5),),
     ),
     Setting(
         "change",
-        "A change of policy is proposed, and given up after so long; so soon after it was accepted a part "
-        "of the umpires is cut off from the others for a time.",
+        "A policy change is proposed, with a timeout. After its proposal was accepted and a delay, a share "
+        "of the instances may be cut off from the others for a time.",
         (
             argument("time", "times", keyword="at", **TIME_BOUNDS),
             argument("patience", "times", keyword="patience", optional=True, **TIME_BOUNDS),
@@ -225,8 +234,8 @@
     ),
     Setting(
         "clock",
-        "An umpire's clock runs so many times as fast, and from a time after each start on it is ahead or "
-        "back by so much.",
+        "An instance's clock runs at this rate, and at a time after each start it jumps forward or back by "
+        "so much.",
         (
             argument("of", "whole"),
             argument("rate", "numbers", keyword="rate", optional=True, minimum=0.5, maximum=2),
@@ -239,14 +248,19 @@
     ),
     Setting(
         "uneven",
-        "So many times more goes to a zone's first umpire than to its last.",
+        "How many times as many connections a zone's first instance gets as its last.",
         (argument("times", "number", minimum=1, maximum=1000),),
         default=1.0,
     ),
-    Setting("retries", "Tries beyond the first.", (argument("count", "whole", maximum=10),), default=2),
+    Setting(
+        "retries",
+        "Retries of a client after its first try.",
+        (argument("count", "whole", maximum=10),),
+        default=2,
+    ),
     Setting(
         "offer",
-        "A build is offered: what it does, how much, to which product, its speed.",
+        "A build is released: its kind, the size of its effect, the request class affected, and its speed.",
         (
             argument("time", "times", keyword="at", **TIME_BOUNDS),
             argument("kind", "text", enum=list(BUILD_KINDS)),
@@ -259,9 +273,9 @@
     ),
     Setting(
         "trouble",
-        "Something goes wrong.",
+        "A fault that occurs during the day.",
         (
-            argument("kind", "text", enum=list(TROUBLES)),
+            argument("kind", "text", enum=list(FAULTS)),
             argument("time", "times", keyword="at", **TIME_BOUNDS),
             argument("length", "times", keyword="for", **TIME_BOUNDS),
             argument("of", "wholes", keyword="of", optional=True),
@@ -275,193 +289,252 @@
 
 
 @dataclass
-class Trouble:
-    """One trouble: when it begins and how long it lasts (s), which one it meets or what part, how strong it is."""
+class Fault:
+    """One fault of a day. Times in seconds.
+
+    Attributes:
+        kind: A key of FAULTS.
+        at: Time from the start of the day.
+        length: How long the fault lasts.
+        target: Number of the server, instance or zone affected, or the kind of link target.
+        size: Strength of the fault, as described in FAULTS.
+        share: Share of the servers, instances, requests or datagrams affected.
+    """
 
     kind: str
     at: float
     length: float
-    of: int = 0
+    target: int = 0
     size: float = 1.0
-    part: float = 0.5
+    share: float = 0.5
 
 
 @dataclass
 class Proposal:
-    """A change of policy: when it is proposed, and how long it is waited for (s); the part of the umpires that is cut
-    off then, how long after the proposal was accepted, and for how long."""
+    """A policy change that is proposed during the day. Times in seconds.
+
+    Attributes:
+        at: Time from the start of the day.
+        timeout: Time after which the change is given up.
+        cut_share: Share of the instances that is cut off from the others after the proposal was accepted.
+        cut_delay: Time from the acceptance until they are cut off.
+        length: How long they are cut off.
+    """
 
     at: float
-    patience: float
-    cut: float
-    soon: float
+    timeout: float
+    cut_share: float
+    cut_delay: float
     length: float
 
 
 @dataclass
 class Day:
-    """One day. Times in seconds."""
+    """One day, with all random choices made. Times in seconds.
+
+    Attributes:
+        common_settings: Settings file that the instances include.
+        place_count: Number of places for servers.
+        demand: By request class, its share of the traffic and its mean work on one core.
+        request_rate: Requests per second.
+        notice: Time for which load balancers go on sending to an instance that has died.
+        balancer_skew: How many times as many connections a zone's first instance gets as its last.
+        probe_period: Time between two membership probes; 0: the default.
+        releases: Builds, with the times of their release.
+        used_by_router: Whether the router uses the current members.
+        carries_gossip: Whether instances also gossip the outcomes of attempts to the members.
+        configured_instance_count: Number of instances in the settings; 0: the true number.
+    """
 
     name: str
-    site: Path
+    common_settings: Path
     length: float
     seed: int
-    umpires: int
-    places: int
+    instance_count: int
+    place_count: int
     shape: ServerShape
-    boot: float
-    drain_for: float
+    boot_duration: float
+    drain_duration: float
     demand: dict[str, tuple[float, float]]
-    traffic: float
-    roster_late: float
-    news_late: float
-    cross_delay: float
+    request_rate: float
+    discovery_delay: float
+    release_control_delay: float
+    cross_zone_delay: float
     notice: float
-    manners: ClientBehavior
-    uneven: float = 1.0
-    view: bool = False
-    view_period: float = 0.0  # the usual one
-    offers: list[tuple[float, Build]] = field(default_factory=list)
-    troubles: list[Trouble] = field(default_factory=list)
-    clocks: dict[int, Skew] = field(default_factory=dict)
-    heeded: bool = True
-    speak: bool = False
-    keepers: int = 0
-    changes: list[Proposal] = field(default_factory=list)
-    told: int = 0  # umpires that the settings name; 0: the true number
+    client_behavior: ClientBehavior
+    balancer_skew: float = 1.0
+    has_membership: bool = False
+    probe_period: float = 0.0
+    releases: list[tuple[float, Build]] = field(default_factory=list)
+    faults: list[Fault] = field(default_factory=list)
+    clock_skews: dict[int, Skew] = field(default_factory=dict)
+    used_by_router: bool = True
+    carries_gossip: bool = False
+    voter_count: int = 0
+    proposals: list[Proposal] = field(default_factory=list)
+    configured_instance_count: int = 0
+
 
+def _draw(random: Random, bounds: list[Any] | None, default: float) -> Any:
+    """Draw a value from a range; an integer if both bounds are integers.
 
-def _drawn(random: Random, ends: list[Any] | None, absent: float) -> Any:
-    """A value from a range; a whole number from whole ones. Draws even where there is nothing to choose, so that one
-    range more or less does not change what others come to."""
-    luck = random.random()
-    if ends is None:
-        return absent
-    low, high = ends
+    Consumes one random number even without a range, so that adding or removing a range does not change the
+    values drawn for others.
+    """
+    draw = random.random()
+    if bounds is None:
+        return default
+    low, high = bounds
     if isinstance(low, int) and isinstance(high, int):
-        return low + min(high - low, int(luck * (high - low + 1)))
-    return low + luck * (high - low)
+        return low + min(high - low, int(draw * (high - low + 1)))
+    return low + draw * (high - low)
 
 
-def _offers(told: list[dict[str, Any]], random: Random) -> list[tuple[float, Build]]:
+def _draw_releases(definitions: list[dict[str, Any]], random: Random) -> list[tuple[float, Build]]:
     drawn = []
-    for offer in told:
-        at, size = _drawn(random, offer["time"], 0.0), _drawn(random, offer.get("size"), 0.0)
-        speed = _drawn(random, offer.get("speed"), 1.0)
-        if random.random() < offer.get("chance", 1.0):
-            drawn.append((at, offer["kind"], size, offer.get("product", ""), speed))
-    return [(at, Build(number + 2, *rest)) for number, (at, *rest) in enumerate(sorted(drawn))]
+    for definition in definitions:
+        at, size = _draw(random, definition["time"], 0.0), _draw(random, definition.get("size"), 0.0)
+        speed = _draw(random, definition.get("speed"), 1.0)
+        if random.random() < definition.get("chance", 1.0):
+            drawn.append((at, definition["kind"], size, definition.get("product", ""), speed))
+    return [(at, Build(index + 2, *rest)) for index, (at, *rest) in enumerate(sorted(drawn))]
 
 
-def _troubles(told: list[dict[str, Any]], most: list[int] | None, random: Random) -> list[Trouble]:
+def _draw_faults(
+    definitions: list[dict[str, Any]], count_range: list[int] | None, random: Random
+) -> list[Fault]:
     drawn = []
-    for t in told:
-        one = Trouble(
-            t["kind"],
-            _drawn(random, t["time"], 0.0),
-            _drawn(random, t["length"], 0.0),
-            _drawn(random, t.get("of"), 0),
-            _drawn(random, t.get("size"), 1.0),
-            _drawn(random, t.get("part"), 0.5),
+    for definition in definitions:
+        fault = Fault(
+            definition["kind"],
+            _draw(random, definition["time"], 0.0),
+            _draw(random, definition["length"], 0.0),
+            _draw(random, definition.get("of"), 0),
+            _draw(random, definition.get("size"), 1.0),
+            _draw(random, definition.get("part"), 0.5),
         )
-        if random.random() < t.get("chance", 1.0):
-            drawn.append(one)
-    if most is not None:
-        count = _drawn(random, most, 0)
+        if random.random() < definition.get("chance", 1.0):
+            drawn.append(fault)
+    if count_range is not None:
+        count = _draw(random, count_range, 0)
         while len(drawn) > count:
             drawn.pop(random.randrange(len(drawn)))
     return drawn
 
 
-def _clocks(told: list[dict[str, Any]], random: Random) -> dict[int, Skew]:
+def _draw_clock_skews(definitions: list[dict[str, Any]], random: Random) -> dict[int, Skew]:
     drawn = {}
-    for clock in told:
-        ahead, back = _drawn(random, clock.get("ahead"), 0.0), _drawn(random, clock.get("back"), 0.0)
+    for definition in definitions:
+        ahead, back = _draw(random, definition.get("ahead"), 0.0), _draw(random, definition.get("back"), 0.0)
         skew = Skew(
-            round(_drawn(random, clock.get("rate"), 1.0), 4),
+            round(_draw(random, definition.get("rate"), 1.0), 4),
             round(ahead - back, 3),
-            round(_drawn(random, clock.get("time"), 0.0), 3),
+            round(_draw(random, definition.get("time"), 0.0), 3),
         )
-        if random.random() < clock.get("chance", 1.0):
-            drawn[clock["of"]] = skew
+        if random.random() < definition.get("chance", 1.0):
+            drawn[definition["of"]] = skew
     return drawn
 
 
 def read_day(file: Path, seed: int | None = None) -> Day:
-    """What is given as a range is drawn by this seed, or by the file's own. Raises Faults with all that is wrong."""
-    tree = SettingsReader(WORDS).read(file)
-    top: dict[str, Any] = {w.name: w.default for w in WORDS} | tree.values
-    boxes = {w.name: w.default for w in BOXES} | top["boxes"]
-    demand = {d["product"]: (d["share"], d["work"]) for d in top["demand"]}
-    for at, trouble in enumerate(top["trouble"] or []):
-        fewest = top["umpires"][0]
-        most = {"box": boxes["count"], "umpire": fewest, "kept": fewest, "ways": 4}.get(
-            trouble["kind"].split("-")[-1], 1 << 30
-        )
-        if trouble.get("of", [0, 0])[1] >= most:
-            tree.add_error(tree.location_of("trouble", at, "of"), f"there are only {most}, numbered from 0")
-    for at, clock in enumerate(top["clock"] or []):
-        if clock["of"] >= top["umpires"][0]:
+    """Read a day file and draw a value from each range, with this seed or that in the file.
+
+    Raises:
+        InvalidSettings: The file is invalid; contains all errors.
+    """
+    tree = SettingsReader(DAY_SETTINGS).read(file)
+    values: dict[str, Any] = {setting.name: setting.default for setting in DAY_SETTINGS} | tree.values
+    servers = {setting.name: setting.default for setting in SERVER_SETTINGS} | values["boxes"]
+    demand = {
+        request_class["product"]: (request_class["share"], request_class["work"])
+        for request_class in values["demand"]
+    }
+    for index, fault in enumerate(values["trouble"] or []):
+        min_instances = values["umpires"][0]
+        target_count = {
+            "box": servers["count"],
+            "umpire": min_instances,
+            "kept": min_instances,
+            "ways": 4,
+        }.get(fault["kind"].split("-")[-1], 1 << 30)
+        if fault.get("of", [0, 0])[1] >= target_count:
             tree.add_error(
-                tree.location_of("clock", at), f"there are only {top['umpires'][0]} umpires, numbered from 0"
+                tree.location_of("trouble", index, "of"), f"there are only {target_count}, numbered from 0"
             )
-    for at, offer in enumerate(top["offer"] or []):
+    for index, clock in enumerate(values["clock"] or []):
+        if clock["of"] >= values["umpires"][0]:
+            tree.add_error(
+                tree.location_of("clock", index),
+                f"there are only {values['umpires'][0]} instances, numbered from 0",
+            )
+    for index, offer in enumerate(values["offer"] or []):
         if (offer["kind"] == "product") != ("product" in offer) or offer.get("product", "") not in (
             "",
             *demand,
         ):
             tree.add_error(
-                tree.location_of("offer", at), "kind 'product' names a product that is asked for; others none"
+                tree.location_of("offer", index),
+                "kind 'product' needs a product that has a 'demand'; other kinds take none",
             )
-    for at, trouble in enumerate(top["trouble"] or []):
-        if trouble["kind"] in WORD_TROUBLES and not top["view"]:
+    for index, fault in enumerate(values["trouble"] or []):
+        if fault["kind"] in DATAGRAM_FAULTS and not values["view"]:
             tree.add_error(
-                tree.location_of("trouble", at), "without 'view yes' umpires say nothing to each other"
+                tree.location_of("trouble", index),
+                "this fault needs 'view yes': without it instances exchange no datagrams",
             )
-    if top["keepers"] and (not top["view"] or top["keepers"] > top["umpires"][0] or top["keepers"] == 4):
-        tree.add_error(tree.location_of("keepers"), "three or five of the umpires, who have 'view yes'")
+    if values["keepers"] and (
+        not values["view"] or values["keepers"] > values["umpires"][0] or values["keepers"] == 4
+    ):
+        tree.add_error(
+            tree.location_of("keepers"),
+            "there must be three or five voters, no more than instances, and 'view yes'",
+        )
     if tree.errors:
         raise InvalidSettings(tree.errors)
-    seed = top["seed"] if seed is None else seed
+    seed = values["seed"] if seed is None else seed
     random = Random(f"{seed} draw")
     day = Day(
         file.parent.name if file.stem == "day" else file.stem,
-        file.parent / top["site"],
-        top["length"],
+        file.parent / values["site"],
+        values["length"],
         seed,
-        _drawn(Random(f"{seed} umpires"), top["umpires"], 1),
-        boxes["count"],
+        _draw(Random(f"{seed} umpires"), values["umpires"], 1),
+        servers["count"],
         ServerShape(
-            boxes["cores"],
-            boxes["queue"],
-            overload_window=boxes["fall-for"],
-            report_interval=boxes["report-every"],
+            servers["cores"],
+            servers["queue"],
+            overload_window=servers["fall-for"],
+            report_interval=servers["report-every"],
         ),
-        boxes["boot"],
-        boxes["drain-for"],
+        servers["boot"],
+        servers["drain-for"],
         demand,
-        _drawn(random, top["traffic"], 0.0),
-        top["roster-late"],
-        top["news-late"],
-        top["cross-delay"],
-        top["notice"],
-        ClientBehavior(retries=top["retries"]),
-        top["uneven"],
-        top["view"],
-        top["view-period"] or 0.0,
-        _offers(top["offer"] or [], random),
-        _troubles(top["trouble"] or [], top["troubles"], random),
+        _draw(random, values["traffic"], 0.0),
+        values["roster-late"],
+        values["news-late"],
+        values["cross-delay"],
+        values["notice"],
+        ClientBehavior(retries=values["retries"]),
+        values["uneven"],
+        values["view"],
+        values["view-period"] or 0.0,
+        _draw_releases(values["offer"] or [], random),
+        _draw_faults(values["trouble"] or [], values["troubles"], random),
     )
-    day.keepers, chances = top["keepers"] or 0, Random(f"{seed} changes")
-    for c in top["change"] or []:
-        change = Proposal(
-            _drawn(chances, c["time"], 0.0),
-            _drawn(chances, c.get("patience"), 0.0),
-            _drawn(chances, c.get("cut"), 0.0),
-            _drawn(chances, c.get("soon"), 0.0),
-            _drawn(chances, c.get("length"), 0.0),
+    day.voter_count, proposal_random = values["keepers"] or 0, Random(f"{seed} changes")
+    for definition in values["change"] or []:
+        proposal = Proposal(
+            _draw(proposal_random, definition["time"], 0.0),
+            _draw(proposal_random, definition.get("patience"), 0.0),
+            _draw(proposal_random, definition.get("cut"), 0.0),
+            _draw(proposal_random, definition.get("soon"), 0.0),
+            _draw(proposal_random, definition.get("length"), 0.0),
         )
-        day.changes += [change] if chances.random() < c.get("chance", 1.0) else []
-    day.heeded, day.speak, day.told = top["heeded"], top["speak"], top["told"] or 0
-    day.clocks = _clocks(top["clock"] or [], random)
+        day.proposals += [proposal] if proposal_random.random() < definition.get("chance", 1.0) else []
+    day.used_by_router, day.carries_gossip, day.configured_instance_count = (
+        values["heeded"],
+        values["speak"],
+        values["told"] or 0,
+    )
+    day.clock_skews = _draw_clock_skews(values["clock"] or [], random)
     return day
--- a/stepsail/standins/membership_lab.py
+++ b/stepsail/standins/membership_lab.py
@@ -1,4 +1,7 @@
-"""Many instances' membership protocols on one clock, over a network that loses, delays, duplicates and cuts."""
+"""Simulates the membership protocol of many instances on one clock, over a network with faults.
+
+The network loses, delays and duplicates datagrams, and links can be cut.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +21,14 @@
 FIRST_PORT = 10000
 SEED_COUNT = 3
 ZONE_COUNT = 3
-BASE_LATENCY = 0.001  # s; up to twice as much, drawn for each datagram
-TIMER_DELAY = 1e-6  # s after a timeout at which it is acted on
+BASE_LATENCY = 0.001  # s; the latency of a datagram is drawn from one to two times this
+TIMER_DELAY = 1e-6  # s from a timeout until its handler runs
 MAX_UNREAD = 1000  # datagrams that wait for a paused process
-SECOND_PROCESS_OFFSET = 100_000  # added to the number of a second process of an instance, in `processes`
+SECOND_PROCESS_OFFSET = 100_000  # added to an instance's number for the key of its second process
 
 
 class ObservedChange(NamedTuple):
-    """A change of one instance's view, and when it was seen."""
+    """A change of the membership view of one instance, the observer, and its time (s)."""
 
     at: float
     observer: int
@@ -34,7 +37,10 @@
 
 @dataclass
 class SimulatedProcess:
-    """One instance's process. Its clock runs `clock_rate` times as fast and is `clock_offset` seconds ahead."""
+    """One instance's process.
+
+    Its clock runs `clock_rate` times as fast as the simulated time and is `clock_offset` seconds ahead.
+    """
 
     instance: int
     address: Address
@@ -50,19 +56,21 @@
 
 
 class MembershipLab(Clock):
-    """A simulated fleet.
+    """A simulated fleet of instances that run the membership protocol.
 
     Attributes:
-        make_protocol: Makes an instance's protocol; others than `MembershipProtocol` serve as baselines.
-        processes: By instance, its latest process.
+        make_protocol: Creates an instance's protocol; classes other than `MembershipProtocol` serve as
+            baselines.
+        processes: The latest process of each instance, by instance; second processes by
+            instance + SECOND_PROCESS_OFFSET.
         processes_by_address: By address, the process that is reached there.
-        cut_links: Pairs of sender and receiver that are cut.
+        cut_links: Pairs of sender and receiver between which datagrams are lost.
         loss: Share of datagrams lost.
         duplication: Share of datagrams delivered twice.
-        latency: Least time that a datagram takes (s).
+        latency: Minimum latency of a datagram (s).
         max_extra_delay: Longest extra delay of a datagram (s).
-        changes: All changes of views.
-        recorded: All datagrams sent, while a test wants them.
+        changes: All changes of the instances' views.
+        recorded: All datagrams sent since a test set this to a list; None: they are not recorded.
     """
 
     def __init__(
@@ -93,7 +101,7 @@
 
     @staticmethod
     def address(instance: int) -> Address:
-        """Where an instance is reached."""
+        """Return the address of an instance."""
         return "127.0.0.1", FIRST_PORT + instance
 
     # Faults
@@ -101,7 +109,10 @@
     def start(
         self, instance: int, start_time: int | None = None, address: Address | None = None
     ) -> SimulatedProcess:
-        """Start a process; with an address of its own it runs beside the instance's earlier one."""
+        """Start a process of an instance.
+
+        With an explicit address it runs beside the instance's earlier process, otherwise it replaces it.
+        """
         reached_at = address or self.address(instance)
         started = start_time if start_time is not None else 1000 * next(self.start_numbers)
         protocol = self.make_protocol(
@@ -125,7 +136,7 @@
         return process
 
     def leave(self, instance: int) -> None:
-        """Let an instance say that it leaves, and end its process."""
+        """Let an instance announce that it leaves, and end its process."""
         process = self.processes[instance]
         process.protocol.leave(self.now)
         self._carry_out(process)
@@ -137,7 +148,7 @@
             self.processes[instance].up = False
 
     def pause(self, instance: int) -> None:
-        """Stop a process; what arrives waits."""
+        """Pause a process; datagrams that arrive meanwhile wait in `unread`."""
         self.processes[instance].paused = True
 
     def resume(self, instance: int) -> None:
@@ -151,7 +162,7 @@
         self._tick(process)
 
     def split(self, *sides: Iterable[int], oneway: bool = False) -> None:
-        """Cut each side from all others; one way: only what the first side sends is lost."""
+        """Cut the links between the sides; with `oneway`, only those from the first side to the others."""
         groups = [set(side) for side in sides]
 
         def groups_of(instance: int) -> set[int]:
@@ -167,7 +178,7 @@
         self.cut_links.clear()
 
     def heal_network(self) -> None:
-        """Let all datagrams through at once."""
+        """Deliver all datagrams from now on, without faults and extra delay."""
         self.heal()
         self.loss = 0.0
         self.duplication = 0.0
@@ -176,15 +187,15 @@
     # Views
 
     def running_processes(self) -> list[SimulatedProcess]:
-        """Processes that are up and not paused."""
+        """Return the processes that are up and not paused."""
         return [process for process in self.processes.values() if process.up and not process.paused]
 
     def views(self) -> dict[int, MembershipView]:
-        """The views of all running instances."""
+        """Return the views of all running instances, by instance."""
         return {process.instance: process.protocol.view() for process in self.running_processes()}
 
     def views_agree(self) -> bool:
-        """Whether all running instances have the same, true view."""
+        """Return whether the view of every running instance consists of exactly the processes that are up."""
         expected = {
             process.instance: process.protocol.local.start_time
             for process in self.processes.values()
@@ -196,7 +207,7 @@
         )
 
     def run_until(self, condition: Callable[[], bool], timeout: float, step: float = 0.1) -> float:
-        """Run until the condition holds, and return how long that took; `timeout` if it never does."""
+        """Run until the condition is true, and return how long that took (s); `timeout` if it never was."""
         started_at = self.now
         while not condition():
             if self.now - started_at >= timeout:
@@ -219,7 +230,7 @@
         self._carry_out(process)
 
     def _carry_out(self, process: SimulatedProcess) -> None:
-        """Note changes, send datagrams and set the timer."""
+        """Record the changes of the view, send datagrams and set the timer."""
         for change in process.protocol.take_changes():
             self.changes.append(ObservedChange(self.now, process.instance, change))
         for to, data in process.protocol.take_datagrams():
--- a/stepsail/standins/policy_fleet.py
+++ b/stepsail/standins/policy_fleet.py
@@ -1,6 +1,7 @@
-"""Participants and voters of a policy on one clock, with faults between them, and a check of every accepted request.
+"""Simulates participants and voters of policy changes on one clock, and checks every accepted request.
 
-The check looks at what instances accept and at when commands were first committed, and at none of their own records.
+Faults occur between participants and voters. The check uses only the requests that instances accept and the
+times at which commands were first committed, and none of the instances' own records.
 """
 
 from __future__ import annotations
@@ -26,13 +27,14 @@
 
 
 class SimulatedInstance:
-    """One instance's process (`participant`; None while it is down).
+    """One instance's process.
 
     Attributes:
-        clock_rate: How fast its clock runs.
+        participant: Its part in policy changes; None while the process is down.
+        clock_rate: How many times as fast as the simulated time its clock runs.
         clock_offset: How far its clock is ahead (s).
-        stopped: The process stands still; what arrives waits in `unread`.
-        timer: Number of the timer that counts; earlier ones do nothing.
+        stopped: Whether the process is paused; messages that arrive meanwhile wait in `unread`.
+        timer: Number of the current timer; earlier timers do nothing when they expire.
     """
 
     def __init__(self, number: int) -> None:
@@ -45,16 +47,16 @@
         self.unread: list[tuple[int, bytes]] = []
 
     def clock(self, now: float) -> float:
-        """The instance's own time."""
+        """Return the time that the instance's clock shows."""
         return now * self.clock_rate + self.clock_offset
 
 
 class PolicyFleet(RaftCluster):
-    """`size` voters and `instance_count` instances.
+    """A simulated fleet of `size` voters and `instance_count` instances.
 
     Attributes:
-        state_machines: By voter.
-        coordinators: By voter.
+        state_machines: By voter number.
+        coordinators: By voter number.
         committed_at: By version, when its commit was first applied (s).
         aborted_at: By version, when its abort was first applied (s).
         accepted: Time, instance and policy version of every accepted request.
@@ -78,7 +80,7 @@
     # Instances
 
     def start_instance(self, number: int) -> None:
-        """Start an instance's process, which knows nothing of earlier ones."""
+        """Start an instance's process, which has no state of earlier processes."""
         instance = self.instances[number]
         self.start_counts[number] = self.start_counts.get(number, 0) + 1
         incarnation = 1000 * self.start_counts[number]
@@ -106,7 +108,7 @@
             self._carry_out_for_instance(instance)
 
     def propose_policy(self, text: str, timeout: float = 0.0) -> int | None:
-        """Propose at the voter that leads; see `PolicyCoordinator.propose`."""
+        """Propose a policy to the leader; see `PolicyCoordinator.propose`."""
         leader = self.leader()
         if leader is None:
             return None
@@ -117,7 +119,7 @@
         return version
 
     def heal_network(self) -> None:
-        """Let all messages through at once."""
+        """Deliver all messages from now on, without faults and extra delay."""
         super().heal_network()
         self.unreachable = set()
 
@@ -127,7 +129,7 @@
         self.at(self.now + REQUEST_INTERVAL, self._send_requests)
 
     def _request(self, instance: SimulatedInstance) -> None:
-        """Send a request to an instance, and check under which policy it is accepted."""
+        """Send a request to an instance, and check the version of the policy under which it is accepted."""
         if instance.participant is None or instance.stopped:
             return
         version = instance.participant.version_at(instance.clock(self.now))
@@ -136,17 +138,18 @@
         self.accepted.append((self.now, instance.number, version))
         if version and self.committed_at.get(version, inf) > self.now:
             self.violations.append(
-                f"{self.now:.2f}: instance {instance.number} accepts under {version}, which is not committed"
+                f"{self.now:.2f}: instance {instance.number} accepts a request under version {version}, "
+                "which is not committed"
             )
         later = [v for v, at in self.committed_at.items() if v > version and at + max_staleness() < self.now]
         if later:
             self.violations.append(
-                f"{self.now:.2f}: instance {instance.number} accepts under {version}; {later[0]} was "
-                f"committed at {self.committed_at[later[0]]:.2f}"
+                f"{self.now:.2f}: instance {instance.number} accepts a request under version {version}; "
+                f"version {later[0]} was committed at {self.committed_at[later[0]]:.2f}"
             )
 
     def _carry_out_for_instance(self, instance: SimulatedInstance) -> None:
-        """Do what the instance's participant asks for, and set its timer."""
+        """Send the participant's messages and set its timer."""
         participant = instance.participant
         assert participant
         participant.tick(instance.clock(self.now))
@@ -206,7 +209,7 @@
         self.state_machines[voter.number].restore(snapshot)
 
     def apply(self, voter: SimulatedVoter, replica: RaftReplica, index: int, data: bytes) -> None:
-        """Apply a committed command, and note when an outcome is first applied anywhere."""
+        """Apply a committed command, and record when a commit or abort is first applied by any voter."""
         state_machine = self.state_machines[voter.number]
         pending = state_machine.state.pending
         command = state_machine.apply(data)
@@ -218,11 +221,11 @@
             self.aborted_at.setdefault(command.version, self.now)
 
     def take_snapshot(self, voter: SimulatedVoter) -> bytes:
-        """Return the state machine's state."""
+        """Return a snapshot of the voter's state machine."""
         return self.state_machines[voter.number].snapshot()
 
     def identity_command(self, number: int, identity: int) -> bytes:
-        """Return the command that admits a voter under a new storage identity."""
+        """Return the command that admits a voter with a new storage identity."""
         return encode_command(AdmitVoter(number, identity))
 
     def _carry_out(self, voter: SimulatedVoter) -> None:
--- a/stepsail/standins/raft_cluster.py
+++ b/stepsail/standins/raft_cluster.py
@@ -1,4 +1,7 @@
-"""A simulated Raft cluster on one clock: disks lose unsynced writes, links lose, duplicate and delay messages."""
+"""Simulates a Raft cluster on one clock, with faults.
+
+Disks lose unsynced writes; links lose, duplicate and delay messages.
+"""
 
 from __future__ import annotations
 
@@ -21,19 +24,19 @@
 from stepsail.standins.clock import Clock
 
 SYNC_DURATION = 0.002  # s
-BASE_LATENCY = 0.001  # s; up to twice as much, drawn for each message
-TIMER_DELAY = 1e-6  # s after a timeout at which it is acted on
+BASE_LATENCY = 0.001  # s; the latency of a message is drawn from one to two times this
+TIMER_DELAY = 1e-6  # s from a timeout until its handler runs
 
 
 class SimulatedDisk:
-    """What is on stable storage, and the writes that were not synced yet."""
+    """The state on stable storage, and the writes that are not synced yet."""
 
     def __init__(self, identity: int) -> None:
         self.state = PersistentState(identity)
         self.unsynced: list[StateWrite] = []
 
     def sync(self) -> int:
-        """Sync all writes and return the last one's number."""
+        """Sync all writes and return the number of the last one; 0 if there are none."""
         last_number = self.unsynced[-1].number if self.unsynced else 0
         for write in self.unsynced:
             self.state = apply_write(self.state, write)
@@ -41,7 +44,7 @@
         return last_number
 
     def crash(self, random: Random) -> None:
-        """Lose unsynced writes; a drawn number of them, from the front, reached the disk."""
+        """Lose the unsynced writes, except for a random number of the oldest, which reached the disk."""
         survivors = random.randrange(len(self.unsynced) + 1) if self.unsynced else 0
         for write in self.unsynced[:survivors]:
             self.state = apply_write(self.state, write)
@@ -49,11 +52,12 @@
 
 
 class SimulatedVoter:
-    """One voter's process (`replica`; None while it is down) and disk.
+    """One voter's process and disk.
 
     Attributes:
-        applied: What the state machine was given, by log index.
-        timer: Number of the timer that counts; earlier ones do nothing.
+        replica: Its replica of the log; None while the process is down.
+        applied: The commands that the state machine has applied, by log index.
+        timer: Number of the current timer; earlier timers do nothing when they expire.
     """
 
     def __init__(self, number: int, disk: SimulatedDisk) -> None:
@@ -65,17 +69,17 @@
 
 
 class RaftCluster(Clock):
-    """Voters 0 to `size` - 1 with new storage, and the faults between them.
+    """A simulated cluster of voters 0 to `size` - 1 with empty storage, and the faults between them.
 
     Attributes:
         loss: Share of messages lost.
         duplication: Share of messages delivered twice.
         max_extra_delay: Longest extra delay of a message (s).
         sync_duration: Typical time that a disk takes to sync (s).
-        cut_links: Pairs of sender and receiver that are cut.
+        cut_links: Pairs of sender and receiver between which messages are lost.
         committed: Every entry that any voter applied, by log index.
         leaders: The leader of each term.
-        violations: Broken guarantees, as text.
+        violations: Descriptions of the guarantees that were broken.
     """
 
     def __init__(self, size: int, seed: int) -> None:
@@ -101,7 +105,7 @@
     # Faults and commands
 
     def start(self, number: int) -> None:
-        """Start a voter's process from what is on its disk."""
+        """Start a voter's process with the state on its disk."""
         voter = self.voters[number]
         stored = msgspec.msgpack.decode(msgspec.msgpack.encode(voter.disk.state), type=PersistentState)
         seed = self.seed * 1000 + next(self.process_numbers)
@@ -116,11 +120,11 @@
         voter.disk.crash(self.random)
 
     def lose_storage(self, number: int) -> None:
-        """Replace the disk of a voter that is down by an empty one."""
+        """Replace the disk of a voter that is down with an empty one."""
         self.voters[number].disk = SimulatedDisk(1000 + next(self.process_numbers))
 
     def heal_network(self) -> None:
-        """Let all messages through at once."""
+        """Deliver all messages from now on, without faults and extra delay."""
         self.cut_links = set()
         self.loss = 0.0
         self.duplication = 0.0
@@ -133,7 +137,7 @@
                 self.start(number)
 
     def propose(self, number: int, data: bytes) -> int | None:
-        """Propose a command at a voter; see `RaftReplica.propose`."""
+        """Propose a command to a voter; see `RaftReplica.propose`."""
         voter = self.voters[number]
         if voter.replica is None:
             return None
@@ -142,7 +146,7 @@
         return index
 
     def leader(self) -> int | None:
-        """The voter that leads in the highest term."""
+        """Return the leader with the highest term, if there is a leader."""
         leaders = [
             (voter.replica.current_term, number)
             for number, voter in self.voters.items()
@@ -150,7 +154,7 @@
         ]
         return max(leaders)[1] if leaders else None
 
-    # The state machine, here a copy of all commands; subclasses put another one in its place
+    # The state machine, which keeps a copy of all commands; subclasses override it
 
     def restore(self, voter: SimulatedVoter, snapshot: bytes) -> None:
         """Restore the voter's state machine from a snapshot."""
@@ -164,17 +168,17 @@
             replica.admit_identity(number, identity, index)
 
     def take_snapshot(self, voter: SimulatedVoter) -> bytes:
-        """Return the state machine's state."""
+        """Return a snapshot of the voter's state machine."""
         return msgspec.msgpack.encode(voter.applied)
 
     def identity_command(self, number: int, identity: int) -> bytes:
-        """Return the command that admits a voter under a new storage identity."""
+        """Return the command that admits a voter with a new storage identity."""
         return b"files %d %d" % (number, identity)
 
     # The host of each voter
 
     def _carry_out(self, voter: SimulatedVoter) -> None:
-        """Do what the voter's replica asks for, check what it did, and set its timer."""
+        """Perform the writes and sends of the voter's replica, check its guarantees, and set its timer."""
         replica = voter.replica
         assert replica
         self._check_leader(voter.number, replica)
@@ -213,7 +217,9 @@
     def _check_entry(self, number: int, index: int, entry: LogEntry) -> None:
         committed = self.committed.setdefault(index, entry.data)
         if committed != entry.data:
-            self.violations.append(f"entry {index} is {committed!r} and {entry.data!r} at voter {number}")
+            self.violations.append(
+                f"entry {index} is committed as {committed!r}, but is {entry.data!r} at voter {number}"
+            )
 
     def _write(self, voter: SimulatedVoter, replica: RaftReplica, write: StateWrite, duration: float) -> None:
         voter.disk.unsynced.append(write)
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -64,12 +64,12 @@
 def test_a_value_given_as_a_range_is_drawn_by_the_seed_and_stays_in_it(tiny_day: Path) -> None:
     drawn = [read_day(tiny_day, seed) for seed in range(40)]
     assert read_day(tiny_day, 7) == read_day(tiny_day, 7)
-    assert len({d.traffic for d in drawn}) > 30 and all(20 <= d.traffic <= 40 for d in drawn)
-    assert {len(d.troubles) for d in drawn} == {1} and {d.troubles[0].kind for d in drawn} == {
+    assert len({d.request_rate for d in drawn}) > 30 and all(20 <= d.request_rate <= 40 for d in drawn)
+    assert {len(d.faults) for d in drawn} == {1} and {d.faults[0].kind for d in drawn} == {
         "kill-box",
         "burst",
     }
-    assert {t.of for d in drawn for t in d.troubles if t.kind == "kill-box"} == {0, 1, 2}
+    assert {t.target for d in drawn for t in d.faults if t.kind == "kill-box"} == {0, 1, 2}
 
 
 @pytest.mark.parametrize(
@@ -93,35 +93,33 @@
     day = read_day(DAYS / "small" / name, seed)
     file = DAYS / "small" / f".test-{os.getpid()}.conf"
     try:
-        file.write_text(day_file_text(day, day.site.resolve()))
+        file.write_text(day_file_text(day, day.common_settings.resolve()))
         again = read_day(file)
     finally:
         file.unlink()
-    assert [(t.kind, t.of) for t in again.troubles] == [(t.kind, t.of) for t in day.troubles]
-    for one, other in zip(again.troubles, day.troubles, strict=True):
-        assert (one.at, one.length, one.size, one.part) == pytest.approx(
-            (other.at, other.length, other.size, other.part), abs=1e-6
+    assert [(t.kind, t.target) for t in again.faults] == [(t.kind, t.target) for t in day.faults]
+    for one, other in zip(again.faults, day.faults, strict=True):
+        assert (one.at, one.length, one.size, one.share) == pytest.approx(
+            (other.at, other.length, other.size, other.share), abs=1e-6
         )
-    assert [b.kind for _, b in again.offers] == [b.kind for _, b in day.offers]
-    assert (again.demand, again.seed, again.umpires) == (day.demand, day.seed, day.umpires)
+    assert [b.kind for _, b in again.releases] == [b.kind for _, b in day.releases]
+    assert (again.demand, again.seed, again.instance_count) == (day.demand, day.seed, day.instance_count)
 
 
 def test_a_find_is_shrunk_to_what_reproduces_it() -> None:
     day = read_day(DAYS / "small/anything.conf", 5)
-    day.troubles = [t for seed in range(40) for t in read_day(DAYS / "small/anything.conf", seed).troubles][
-        :12
-    ]
-    culprit = day.troubles[7]
+    day.faults = [t for seed in range(40) for t in read_day(DAYS / "small/anything.conf", seed).faults][:12]
+    culprit = day.faults[7]
     plays = [0]
 
     def still(candidate: Day) -> bool:
         plays[0] += 1
-        return any(t.kind == culprit.kind and t.at == culprit.at for t in candidate.troubles)
+        return any(t.kind == culprit.kind and t.at == culprit.at for t in candidate.faults)
 
     found = shrink(day, still)
     assert (
-        [t.kind for t in found.troubles] == [culprit.kind]
-        and found.offers == []
+        [t.kind for t in found.faults] == [culprit.kind]
+        and found.releases == []
         and found.length < day.length
     )
     assert plays[0] <= 60
--- a/tests/simulation/test_days.py
+++ b/tests/simulation/test_days.py
@@ -19,7 +19,7 @@
 def test_the_short_day_breaks_no_rule_and_ends_well(tmp_path: Path) -> None:
     day = read_day(DAYS / "short/day.conf")
     came = play(day, tmp_path)
-    assert came.codes == [0] * day.umpires and came.emulated > day.length
+    assert came.codes == [0] * day.instance_count and came.emulated > day.length
     history = read_history(tmp_path / "transcript.jsonl")
     assert verify(history) == []
 
@@ -72,8 +72,8 @@
     code = (
         "import resource; from pathlib import Path; from stepsail.simulation.play import play; "
         "from stepsail.standins.day import read_day; from stepsail.verify import read_history, verify; "
-        f"day = read_day(Path({str(DAYS / 'grown/quiet.conf')!r})); day.umpires = 540; day.places = 12; "
-        f"day.traffic, day.length, out = 60.0, 1.0, Path({str(tmp_path)!r}); came = play(day, out); "
+        f"day = read_day(Path({str(DAYS / 'grown/quiet.conf')!r})); day.instance_count = 540; day.place_count = 12; "
+        f"day.request_rate, day.length, out = 60.0, 1.0, Path({str(tmp_path)!r}); came = play(day, out); "
         "print(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024, len(came.codes), "
         "sum(map(bool, came.codes)), "
         "len(verify(read_history(out / 'transcript.jsonl'))))"
--- a/tests/simulation/test_heeded_days.py
+++ b/tests/simulation/test_heeded_days.py
@@ -39,7 +39,7 @@
     file = tmp_path / "day.conf"
     gone = "\n".join(f"trouble kill-umpire at 1s for 90s of {n}" for n in JUDGES)
     file.write_text(DAY.format(site=SITE, judges=gone))
-    play(replace(read_day(file), heeded=heeded), tmp_path / "out")
+    play(replace(read_day(file), used_by_router=heeded), tmp_path / "out")
     history = read_history(tmp_path / "out/transcript.jsonl")
     breaches = verify(history)
     assert breaches == [] and [r["end"] for r in summary(history, breaches)["releases"]] == [end]
--- a/tests/standins/test_rehearsal.py
+++ b/tests/standins/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""The whole program through a short day: a correct instance passes, and a broken one fails."""
+"""Plays a short day with the whole program: a correct instance passes, and a broken one fails."""
 
 from __future__ import annotations
 
@@ -32,37 +32,41 @@
 """
 
 
-BROKEN = [sys.executable, str(ROOT / "tests/broken_umpire.py")]
+BROKEN_INSTANCE_COMMAND = [sys.executable, str(ROOT / "tests/broken_umpire.py")]
 
 
-def play(folder: Path, program: list[str], *more: str) -> tuple[int, dict[str, Any]]:
+def play(folder: Path, program: list[str], *options: str) -> tuple[int, dict[str, Any]]:
     day = folder / "day.conf"
     day.write_text(DAY.format(site=ROOT / "days/bad-day/site.conf"))
-    command = [*program, "rehearse", str(day), "--json", "--out", str(folder / "out"), *more]
-    done = subprocess.run(
+    command = [*program, "rehearse", str(day), "--json", "--out", str(folder / "out"), *options]
+    completed = subprocess.run(
         command, capture_output=True, text=True, timeout=90, env=os.environ | {"PYTHONPATH": str(ROOT)}
     )
-    assert done.returncode in (0, 1), done.stderr
-    return done.returncode, json.loads(done.stdout)
+    assert completed.returncode in (0, 1), completed.stderr
+    return completed.returncode, json.loads(completed.stdout)
 
 
 def test_run_of_a_correct_instance_passes(tmp_path: Path) -> None:
-    code, found = play(tmp_path, [sys.executable, "-m", "stepsail"])
-    assert (code, found["breaches"], found["umpires_that_left_badly"]) == (0, [], 0)
-    assert found["answers"]["handled"] > 150 and found["relays"] >= found["answers"]["handled"]
+    code, report = play(tmp_path, [sys.executable, "-m", "stepsail"])
+    assert (code, report["breaches"], report["umpires_that_left_badly"]) == (0, [], 0)
+    assert report["answers"]["handled"] > 150 and report["relays"] >= report["answers"]["handled"]
 
 
 def test_run_of_a_broken_instance_fails(tmp_path: Path) -> None:
-    words = [word for part in [*BROKEN, "answers", "umpire"] for word in ("--umpire-command", part)]
-    code, found = play(tmp_path, [sys.executable, "-m", "stepsail"], *words)
-    assert code == 1 and any(b.startswith("rule 1") for b in found["breaches"])
+    options = [
+        option
+        for argument in [*BROKEN_INSTANCE_COMMAND, "answers", "umpire"]
+        for option in ("--umpire-command", argument)
+    ]
+    code, report = play(tmp_path, [sys.executable, "-m", "stepsail"], *options)
+    assert code == 1 and any(breach.startswith("rule 1") for breach in report["breaches"])
 
 
-# In virtual time: on sockets it is up to chance whether one of the few non-idempotent requests is at a server as it
-# is killed, and on a busy machine none may be.
+# In virtual time: with processes on sockets it depends on chance whether a server is killed while it runs one of
+# the few non-idempotent requests, and on a busy machine this may never happen.
 @pytest.mark.parametrize(
     ("fault", "rule"), [("exposure", "rule 5"), ("answers", "rule 1"), ("repeats", "rule 2")]
 )
 def test_each_broken_rule_is_reported(tmp_path: Path, fault: str, rule: str) -> None:
-    code, found = play(tmp_path, [*BROKEN, fault], "--emulated", "--seed", "2")
-    assert code == 1 and any(b.startswith(rule) for b in found["breaches"])
+    code, report = play(tmp_path, [*BROKEN_INSTANCE_COMMAND, fault], "--emulated", "--seed", "2")
+    assert code == 1 and any(breach.startswith(rule) for breach in report["breaches"])
--- a/tests/standins/test_switch.py
+++ b/tests/standins/test_switch.py
@@ -126,7 +126,7 @@
         file = tmp_path / f"{index}.conf"
         file.write_text(DAY.format(base=f'"{base}"', trouble=trouble))
         day = read_day(file)
-        day.site = base.parent.parent / "bad-day" / "site.conf"
+        day.common_settings = base.parent.parent / "bad-day" / "site.conf"
         play(day, tmp_path / str(index))
         membership = read_membership_checker(tmp_path / str(index))
         transcript = (tmp_path / str(index) / "transcript.jsonl").read_text()
