--- a/bench/bad_days.py
+++ b/bench/bad_days.py
@@ -1,4 +1,4 @@
-"""Plays a day with many seeds, some at a time, and writes a table of what came of each.
+"""Runs a day (a scenario) with many seeds, several at a time, and writes a table of the results by seed.
 
 python bench/bad_days.py days/bad-day --seeds 20 --at-once 4 --out FOLDER --table docs/measurements/bad-day.md
 """
@@ -17,10 +17,10 @@
 import click
 
 
-def play(day: Path, seed: int, out: Path) -> dict[str, Any]:
-    """One playing in a process of its own; its report, or why there is none."""
+def run_day(day: Path, seed: int, out: Path) -> dict[str, Any]:
+    """Run the day in a process of its own and return its report, or the error output if there is none."""
     folder = out / f"seed-{seed}"
-    done = subprocess.run(
+    process = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -37,23 +37,24 @@
         text=True,
     )
     try:
-        return {"exit": done.returncode, **json.loads(done.stdout)}
+        return {"exit": process.returncode, **json.loads(process.stdout)}
     except ValueError:
-        return {"exit": done.returncode, "seed": seed, "failed": done.stderr[-400:]}
+        return {"exit": process.returncode, "seed": seed, "failed": process.stderr[-400:]}
 
 
-def row(found: dict[str, Any]) -> str:
-    if "failed" in found:
-        return f"| {found['seed']} | did not play: exit {found['exit']} | | | | | | |"
-    good = next((r for r in found["releases"] if not r["bad"]), {})
-    bad = next((r for r in found["releases"] if r["bad"]), {})
-    closest = max((e["closest"] for e in found["exposure"].values()), default=0.0)
-    cold = max(found["cold"].values(), default=0.0)
-    worst = min(p["service"] for p in found["products"].values())
+def table_row(report: dict[str, Any]) -> str:
+    if "failed" in report:
+        return f"| {report['seed']} | failed: exit code {report['exit']} | | | | | | |"
+    good_release = next((release for release in report["releases"] if not release["bad"]), {})
+    bad_release = next((release for release in report["releases"] if release["bad"]), {})
+    closest_window = max((exposure["closest"] for exposure in report["exposure"].values()), default=0.0)
+    slow_start_load = max(report["cold"].values(), default=0.0)
+    worst_class = min(request_class["service"] for request_class in report["products"].values())
     return (
-        f"| {found['seed']} | {found['service']:.3f} | {worst:.3f} | {good.get('end')} "
-        f"{good.get('after', '')} | {bad.get('end')} {bad.get('after', '')} | {closest:.2f} | {cold:.2f} | "
-        f"{len(found['breaches'])} |"
+        f"| {report['seed']} | {report['service']:.3f} | {worst_class:.3f} | {good_release.get('end')} "
+        f"{good_release.get('after', '')} | {bad_release.get('end')} {bad_release.get('after', '')} | "
+        f"{closest_window:.2f} | {slow_start_load:.2f} | "
+        f"{len(report['breaches'])} |"
     )
 
 
@@ -65,24 +66,31 @@
 @click.option("--table", type=click.Path(path_type=Path))
 def main(day: Path, seeds: int, at_once: int, out: Path, table: Path | None) -> None:
     with ThreadPoolExecutor(at_once) as pool:
-        reports = list(pool.map(lambda seed: play(day, seed, out), range(1, seeds + 1)))
-    played = [r for r in reports if "failed" not in r]
-    right = [all(x["right"] for x in r["releases"]) for r in played]
-    good = sum(any(not x["bad"] and x["right"] for x in r["releases"]) for r in played)
-    bad = sum(any(x["bad"] and x["right"] for x in r["releases"]) for r in played)
+        reports = list(pool.map(lambda seed: run_day(day, seed, out), range(1, seeds + 1)))
+    completed = [report for report in reports if "failed" not in report]
+    all_correct = [all(release["right"] for release in report["releases"]) for report in completed]
+    good_released = sum(
+        any(not release["bad"] and release["right"] for release in report["releases"]) for report in completed
+    )
+    bad_rolled_back = sum(
+        any(release["bad"] and release["right"] for release in report["releases"]) for report in completed
+    )
     text = "\n".join(
         (
-            f"{len(played)} of {seeds} seeds played, {at_once} at once, on {os.cpu_count()} cores, "
-            f"Python {platform.python_version()}; boxes, release control and clients are stand-ins (simulated).",
+            f"{len(completed)} of {seeds} seeds completed, {at_once} at a time, on {os.cpu_count()} cores, "
+            f"Python {platform.python_version()}; servers, release control and clients are "
+            "stand-ins (simulated).",
             "",
-            f"Rules broken in {sum(bool(r['breaches']) for r in played)} runs; good build released in {good}, "
-            f"bad build taken off in {bad}, both in {sum(right)}; service from "
-            f"{min(r['service'] for r in played):.3f} to {max(r['service'] for r in played):.3f}.",
+            f"Rules violated in {sum(bool(report['breaches']) for report in completed)} runs; "
+            f"good build released in {good_released}, "
+            f"bad build rolled back in {bad_rolled_back}, both in {sum(all_correct)}; service from "
+            f"{min(report['service'] for report in completed):.3f} to "
+            f"{max(report['service'] for report in completed):.3f}.",
             "",
-            "| seed | service | worst product | good build, s | bad build, s | closest window to its cap | "
-            "most pushed cold box | breaches |",
+            "| seed | service | worst request class | good build, s | bad build, s | "
+            "window closest to its exposure limit | highest load in slow start | violations |",
             "| --- | --- | --- | --- | --- | --- | --- | --- |",
-            *map(row, reports),
+            *map(table_row, reports),
             "",
         )
     )
--- a/bench/beats.py
+++ b/bench/beats.py
@@ -1,6 +1,8 @@
-"""All-to-all heartbeats, as a baseline for the fleet's view: every umpire tells every other one that it is there.
+"""All-to-all heartbeats, a baseline for the membership protocol.
 
-Everybody is named in everybody's settings; who has not been heard for a while is gone, who is heard is there."""
+Every instance knows the addresses of all others from its settings and sends each of them a heartbeat every
+period. An instance from which no heartbeat has arrived for `SILENCE_PERIODS` is considered dead.
+"""
 
 from __future__ import annotations
 
@@ -17,19 +19,21 @@
     Timing,
 )
 
-SILENT = 10  # periods without a word until one is gone: the least time that a suspicion of the view lasts
+# Periods without a heartbeat after which an instance is considered dead; as long as the shortest suspicion
+# timeout of the membership protocol.
+SILENCE_PERIODS = 10
 Address = tuple[str, int]
 
 
-class Beats:
-    """Driven as `MembershipProtocol` is."""
+class HeartbeatProtocol:
+    """Has the interface of `MembershipProtocol`."""
 
-    size = 0  # umpires that the settings name; their ports follow each other
+    instance_count = 0  # number of instances in the settings; their ports are consecutive
 
     def __init__(
         self,
-        number: int,
-        start: int,
+        instance: int,
+        start_time: int,
         zone: str,
         address: Address,
         seeds: Sequence[Address],
@@ -37,13 +41,16 @@
         now: float,
         timing: Timing | None = None,
     ) -> None:
-        self.number, self.start, self.period = number, start, (timing or Timing()).period
-        self.local = MemberRecord(number, start, 0, MemberState.ALIVE, zone, *address)
-        first = seeds[0][1]
-        self.others = [("127.0.0.1", first + n) for n in range(self.size) if n != number]
-        self.heard_at: dict[int, tuple[int, float]] = {}  # by number: start, and when it was heard last
+        self.instance, self.start_time, self.period = instance, start_time, (timing or Timing()).period
+        self.local = MemberRecord(instance, start_time, 0, MemberState.ALIVE, zone, *address)
+        first_port = seeds[0][1]
+        self.peers = [
+            ("127.0.0.1", first_port + other) for other in range(self.instance_count) if other != instance
+        ]
+        # By instance: its start time, and when its last heartbeat arrived.
+        self.last_heard: dict[int, tuple[int, float]] = {}
         self.next_timeout, self.counters = now, Counter[str]()
-        self.out: list[tuple[Address, bytes]] = []
+        self.outgoing: list[tuple[Address, bytes]] = []
         self.changes: list[MemberChange] = []
         self.now = now
 
@@ -51,33 +58,38 @@
         self.now = max(self.now, now)
         if self.now >= self.next_timeout:
             self.next_timeout = self.now + self.period
-            word = b"%d.%d" % (self.number, self.start)
-            self.out += [(to, word) for to in self.others]
-        for number, (start, at) in list(self.heard_at.items()):
-            if self.now - at > SILENT * self.period:
-                del self.heard_at[number]
+            heartbeat = b"%d.%d" % (self.instance, self.start_time)
+            self.outgoing += [(to, heartbeat) for to in self.peers]
+        for instance, (start_time, at) in list(self.last_heard.items()):
+            if self.now - at > SILENCE_PERIODS * self.period:
+                del self.last_heard[instance]
                 self.changes.append(
-                    MemberChange(number, start, MemberState.ALIVE, MemberState.DEAD, "silent")
+                    MemberChange(instance, start_time, MemberState.ALIVE, MemberState.DEAD, "silent")
                 )
 
     def receive(self, data: bytes, now: float) -> None:
         self.now = max(self.now, now)
-        number, start = map(int, data.split(b"."))
-        if start >= self.heard_at.get(number, (0, 0.0))[0]:
-            self.heard_at[number] = (start, self.now)
+        instance, start_time = map(int, data.split(b"."))
+        if start_time >= self.last_heard.get(instance, (0, 0.0))[0]:
+            self.last_heard[instance] = (start_time, self.now)
 
     def leave(self, now: float) -> None:
         self.next_timeout = inf
 
     def take_datagrams(self) -> list[tuple[Address, bytes]]:
-        out, self.out = self.out, []
-        return out
+        outgoing, self.outgoing = self.outgoing, []
+        return outgoing
 
     def take_changes(self) -> list[MemberChange]:
         changes, self.changes = self.changes, []
         return changes
 
     def view(self) -> MembershipView:
-        there = {self.number: self.start} | {n: s for n, (s, _) in self.heard_at.items()}
-        members = tuple(MemberStatus(n, there[n], "", ("", 0), MemberState.ALIVE, 0.0) for n in sorted(there))
+        present = {self.instance: self.start_time} | {
+            instance: start_time for instance, (start_time, _) in self.last_heard.items()
+        }
+        members = tuple(
+            MemberStatus(instance, present[instance], "", ("", 0), MemberState.ALIVE, 0.0)
+            for instance in sorted(present)
+        )
         return MembershipView(0, members, (), True, False, False)
--- a/bench/fleet_chart.py
+++ b/bench/fleet_chart.py
@@ -1,4 +1,4 @@
-"""Charts of what bench/fleet_baselines.py printed: seconds until all know, and datagrams a second at each umpire.
+"""Draws charts from the output of bench/fleet_baselines.py: detection times, and datagrams per second.
 
 python bench/fleet_chart.py LINES docs/measurements/fleet-view.svg
 """
@@ -13,14 +13,14 @@
 import matplotlib
 
 matplotlib.use("svg")
-matplotlib.rcParams["svg.hashsalt"] = "stepsail"  # the same file each time
+matplotlib.rcParams["svg.hashsalt"] = "stepsail"  # makes the file reproducible
 from matplotlib import pyplot as plt  # noqa: E402
 
-NAMES = {"swim": "the view", "heartbeats": "all-to-all heartbeats"}
+PROTOCOL_LABELS = {"swim": "membership protocol", "heartbeats": "all-to-all heartbeats"}
 PANELS = (
-    ("one crashed", "one crash known to all, s"),
-    ("halves cut for 60 s, healed", "halves cut, healed, s"),
-    ("datagrams", "datagrams a second each, quiet"),
+    ("one crashed", "crash known to all instances, s"),
+    ("halves cut for 60 s, healed", "views agree after a partition, s"),
+    ("datagrams", "datagrams per second and instance"),
 )
 
 
@@ -29,16 +29,18 @@
 @click.argument("out", type=click.Path(path_type=Path))
 def main(lines: Path, out: Path) -> None:
     rows: list[dict[str, Any]] = [
-        json.loads(x) for x in lines.read_text("utf-8").splitlines() if x.startswith("{")
+        json.loads(line) for line in lines.read_text("utf-8").splitlines() if line.startswith("{")
     ]
     figure, axes = plt.subplots(1, len(PANELS), figsize=(11, 3.2), layout="constrained")
-    for axis, (what, title) in zip(axes, PANELS, strict=True):
-        for kind, name in NAMES.items():
-            found = sorted(
-                (r["umpires"], r[what]) for r in rows if r["view"] == kind and r.get(what) is not None
+    for axis, (key, title) in zip(axes, PANELS, strict=True):
+        for protocol, protocol_label in PROTOCOL_LABELS.items():
+            points = sorted(
+                (row["umpires"], row[key])
+                for row in rows
+                if row["view"] == protocol and row.get(key) is not None
             )
-            axis.plot(*zip(*found, strict=True), marker="o", label=name)
-        axis.set(title=title, xlabel="umpires", xscale="log")
+            axis.plot(*zip(*points, strict=True), marker="o", label=protocol_label)
+        axis.set(title=title, xlabel="instances", xscale="log")
         axis.set_ylim(bottom=0)
     axes[-1].set_yscale("log")
     axes[0].legend()
--- a/bench/fleet_days.py
+++ b/bench/fleet_days.py
@@ -1,4 +1,4 @@
-"""Plays a day of the fleet's view with many seeds, emulated or on processes, and tells which promises were broken.
+"""Runs a membership day with many seeds, simulated or on processes, and prints the violated guarantees.
 
 python bench/fleet_days.py days/fleet/anything.conf --seeds 1..200 --at-once 8 --out FOLDER [--processes]
 """
@@ -18,8 +18,8 @@
 import click
 
 
-def play(day: Path, seed: int, out: Path, processes: bool) -> dict[str, Any]:
-    """One playing; what was broken. The folder is kept only where something was."""
+def run_day(day: Path, seed: int, out: Path, processes: bool) -> dict[str, Any]:
+    """Run the day and return what it violated. The folder is kept only if something was violated."""
     folder = out / f"seed-{seed}"
     command = [
         sys.executable,
@@ -33,10 +33,10 @@
         str(folder),
     ]
     command += ["--json"] if processes else ["--json", "--emulated"]
-    done = subprocess.run(command, capture_output=True, text=True)
+    process = subprocess.run(command, capture_output=True, text=True)
     try:
-        report = json.loads(done.stdout)
-        found = {
+        report = json.loads(process.stdout)
+        result = {
             "seed": seed,
             "promises": report["view_promises_broken"] + report["policy_promises_broken"],
             "rules": report["breaches"],
@@ -50,33 +50,33 @@
             "service": report["service"],
         }
     except (ValueError, KeyError):
-        found = {"seed": seed, "failed": done.stderr[-400:]}
-    if done.returncode == 0:
+        result = {"seed": seed, "failed": process.stderr[-400:]}
+    if process.returncode == 0:
         shutil.rmtree(folder, ignore_errors=True)
-    return found
+    return result
 
 
 @click.command()
 @click.argument("day", type=click.Path(exists=True, path_type=Path))
-@click.option("--seeds", default="1..20", help="From..to.")
+@click.option("--seeds", default="1..20", help="First and last seed, as FIRST..LAST.")
 @click.option("--at-once", default=8)
 @click.option("--out", required=True, type=click.Path(path_type=Path))
-@click.option("--processes", is_flag=True, help="Real processes on loopback in place of the emulator.")
+@click.option("--processes", is_flag=True, help="Run real processes on loopback instead of simulating them.")
 def main(day: Path, seeds: str, at_once: int, out: Path, processes: bool) -> None:
     first, _, last = seeds.partition("..")
-    began, counts, judged = time.monotonic(), Counter[str](), Counter[str]()
+    start, violation_counts, check_counts = time.monotonic(), Counter[str](), Counter[str]()
     out.mkdir(parents=True, exist_ok=True)
     with ThreadPoolExecutor(at_once) as pool:
-        for found in pool.map(
-            lambda s: play(day, s, out, processes), range(int(first), int(last or first) + 1)
+        for result in pool.map(
+            lambda seed: run_day(day, seed, out, processes), range(int(first), int(last or first) + 1)
         ):
-            judged.update(found.get("judged", {}))
-            kinds = {p.split(" ")[0] for p in found.get("promises", [])}
-            counts.update(kinds or {"failed" if "failed" in found else "kept"})
-            counts.update({"rules broken"} if found.get("rules") else ())
-            if kinds or found.get("rules") or "failed" in found or found.get("left_badly"):
-                click.echo(json.dumps(found)[:600])
-    click.echo(f"{dict(counts)}, judged {dict(judged)} in {time.monotonic() - began:.0f} s")
+            check_counts.update(result.get("judged", {}))
+            violated = {violation.split(" ")[0] for violation in result.get("promises", [])}
+            violation_counts.update(violated or {"failed" if "failed" in result else "kept"})
+            violation_counts.update({"rules broken"} if result.get("rules") else ())
+            if violated or result.get("rules") or "failed" in result or result.get("left_badly"):
+                click.echo(json.dumps(result)[:600])
+    click.echo(f"{dict(violation_counts)}, checks {dict(check_counts)} in {time.monotonic() - start:.0f} s")
 
 
 if __name__ == "__main__":
--- a/bench/fleet_explore.py
+++ b/bench/fleet_explore.py
@@ -1,5 +1,7 @@
-"""Every short history of three umpires: each of the next words passes, is lost, comes twice, or comes late and
-out of order, while the third crashes, stands still, starts again or has its way cut at each moment between them.
+"""Explores all short histories of a membership of three instances.
+
+Each of the next datagrams is delivered, lost, duplicated, or delayed so that it arrives out of order. After
+one of them the third instance crashes, pauses, restarts or is disconnected; each of these moments is tried.
 
     python bench/fleet_explore.py --depth 5 --at-once 4 [--broken doubts|order|lost]
 """
@@ -22,44 +24,51 @@
 from stepsail.standins.membership_lab import Address, MembershipLab, SimulatedProcess
 
 FATES = ("passes", "lost", "twice", "late")
-LATE = 0.7  # s: over a period, so that later words overtake
-BEFALLS = ("nothing", "crash", "stop", "restart", "cut", "long stop", "long cut")
-LONG = 20.0  # s: the others have held it for gone by then, and rightly; it has to be there again afterwards
-BROKEN: dict[str, tuple[type, str, Any]] = {
+LATE_DELAY = 0.7  # s; longer than a period, so that later datagrams arrive earlier
+FAULTS = ("nothing", "crash", "stop", "restart", "cut", "long stop", "long cut")
+# Seconds after which the others have rightly declared the third instance dead. It must rejoin afterwards.
+LONG_FAULT_TIME = 20.0
+DEFECTS: dict[str, tuple[type, str, Any]] = {
     "doubts": (LocalMember, "handle_claim", lambda self, claim: None),
     "order": (MemberRecord, "precedence", property(lambda self: (0, self.incarnation, self.state))),
     "lost": (FailureDetector, "probe_dead", lambda self: None),
 }
 
 
-class Words:
-    """Gives each datagram its fate, and calls when so many have been sent."""
+class FaultInjector:
+    """Applies a fate to each datagram, and starts the fault after `fault_after` datagrams."""
 
     def __init__(
-        self, lab: MembershipLab, fates: tuple[str, ...], moment: int, then: Callable[[], None]
+        self, lab: MembershipLab, fates: tuple[str, ...], fault_after: int, start_fault: Callable[[], None]
     ) -> None:
-        self.lab, self.fates, self.moment, self.then, self.sent = lab, fates, moment, then, 0
-        self.real = lab._send
+        self.lab, self.fates, self.fault_after, self.start_fault, self.sent = (
+            lab,
+            fates,
+            fault_after,
+            start_fault,
+            0,
+        )
+        self.original_send = lab._send
         lab._send = self.send  # type: ignore[method-assign]
 
     def send(self, process: SimulatedProcess, to: Address, data: bytes) -> None:
         fate = self.fates[self.sent] if self.sent < len(self.fates) else "passes"
         self.sent += 1
         if fate == "late":
-            self.lab.at(self.lab.now + LATE, partial(self.real, process, to, data))
+            self.lab.at(self.lab.now + LATE_DELAY, partial(self.original_send, process, to, data))
         elif fate != "lost":
             for _ in range(1 + (fate == "twice")):
-                self.real(process, to, data)
-        if self.sent == self.moment:
-            self.then()
+                self.original_send(process, to, data)
+        if self.sent == self.fault_after:
+            self.start_fault()
 
 
-def history(fates: tuple[str, ...], befalls: str, moment: int) -> tuple[bool, int]:
-    """Whether it ended as it should, and the changes of views that it saw."""
+def run_history(fates: tuple[str, ...], fault: str, fault_after: int) -> tuple[bool, int]:
+    """Return whether a history ended in the correct state, and the number of changes of views in it."""
     lab = MembershipLab(3)
     lab.run(4.0)
     lab.changes.clear()
-    begins: dict[str, Callable[[], None]] = {
+    fault_starts: dict[str, Callable[[], None]] = {
         "nothing": lambda: None,
         "crash": lambda: lab.crash(2),
         "restart": lambda: lab.crash(2),
@@ -68,50 +77,60 @@
         "long stop": lambda: lab.pause(2),
         "long cut": lambda: lab.split([2], [0, 1]),
     }
-    Words(lab, fates, moment, begins[befalls])
-    lab.run(LONG if befalls.startswith("long") else 1.5)
-    if befalls.endswith("stop"):
+    FaultInjector(lab, fates, fault_after, fault_starts[fault])
+    lab.run(LONG_FAULT_TIME if fault.startswith("long") else 1.5)
+    if fault.endswith("stop"):
         lab.resume(2)
-    elif befalls == "restart" and not lab.processes[2].up:
+    elif fault == "restart" and not lab.processes[2].up:
         lab.start(2)
-    elif befalls.endswith("cut"):
+    elif fault.endswith("cut"):
         lab.heal()
-    lab.run(22.0 if befalls == "crash" else 9.0)
-    held = {c.instance for _, _, c in lab.changes if c.state is MemberState.DEAD}
-    wrong = set[int]() if befalls == "long cut" else held - {2} if befalls in ("crash", "long stop") else held
-    return lab.views_agree() and not wrong and (befalls != "crash" or lab.processes[2].up or 2 in held), len(
-        lab.changes
+    lab.run(22.0 if fault == "crash" else 9.0)
+    declared_dead = {change.instance for _, _, change in lab.changes if change.state is MemberState.DEAD}
+    wrongly_declared = (
+        set[int]()
+        if fault == "long cut"
+        else declared_dead - {2}
+        if fault in ("crash", "long stop")
+        else declared_dead
     )
+    return lab.views_agree() and not wrongly_declared and (
+        fault != "crash" or lab.processes[2].up or 2 in declared_dead
+    ), len(lab.changes)
 
 
-def jobs(depth: int) -> Iterator[tuple[tuple[str, ...], str, int]]:
+def all_histories(depth: int) -> Iterator[tuple[tuple[str, ...], str, int]]:
     for fates in product(FATES, repeat=depth):
-        for befalls in BEFALLS:
-            for moment in range(1, depth + 1) if befalls != "nothing" else (1,):
-                yield fates, befalls, moment
+        for fault in FAULTS:
+            for fault_after in range(1, depth + 1) if fault != "nothing" else (1,):
+                yield fates, fault, fault_after
 
 
-def judge(
-    broken: str, job: tuple[tuple[str, ...], str, int]
+def check_history(
+    defect: str, job: tuple[tuple[str, ...], str, int]
 ) -> tuple[tuple[tuple[str, ...], str, int], bool, int]:
-    if broken:
-        setattr(*BROKEN[broken])
-    return job, *history(*job)
+    if defect:
+        setattr(*DEFECTS[defect])
+    return job, *run_history(*job)
 
 
 @click.command()
-@click.option("--depth", default=5, help="Datagrams whose fates are drawn through.")
+@click.option("--depth", default=5, help="Number of datagrams whose fates are enumerated.")
 @click.option("--at-once", default=4)
 @click.option(
-    "--broken", type=click.Choice(sorted(BROKEN)), help="A view wrong on purpose, until it is found."
+    "--broken",
+    type=click.Choice(sorted(DEFECTS)),
+    help="Inject a defect into the protocol, and stop once it is detected.",
 )
 def main(depth: int, at_once: int, broken: str | None) -> None:
-    began, total, changes, wrong = time.monotonic(), 0, 0, list[Any]()
+    start, total, changes, failed = time.monotonic(), 0, 0, list[Any]()
     with ProcessPoolExecutor(at_once) as pool:
-        for job, well, seen in pool.map(partial(judge, broken or ""), jobs(depth), chunksize=64):
-            total, changes = total + 1, changes + seen
-            if not well:
-                wrong.append(job)
+        for job, is_correct, change_count in pool.map(
+            partial(check_history, broken or ""), all_histories(depth), chunksize=64
+        ):
+            total, changes = total + 1, changes + change_count
+            if not is_correct:
+                failed.append(job)
                 if broken:
                     pool.shutdown(cancel_futures=True)
                     break
@@ -121,10 +140,10 @@
                 "depth": depth,
                 "histories": total,
                 "changes of views": changes,
-                "wrong": len(wrong),
-                "first": wrong[:3],
+                "wrong": len(failed),
+                "first": failed[:3],
                 "broken": broken,
-                "s": round(time.monotonic() - began, 1),
+                "s": round(time.monotonic() - start, 1),
             }
         )
     )
--- a/bench/fleet_times.py
+++ b/bench/fleet_times.py
@@ -1,4 +1,6 @@
-"""How long each change of the fleet takes to be known to all, at several sizes, in virtual time or on processes.
+"""Measures how long each change of the fleet takes to reach all instances, for several fleet sizes.
+
+The day is simulated in virtual time, or run on processes with `--processes`.
 
 python bench/fleet_times.py days/fleet/times.conf --sizes 10,50,170 --out FOLDER [--processes]
 """
@@ -23,29 +25,33 @@
 from stepsail.verify.membership_history import MembershipHistory
 
 
-def known_after(history: MembershipHistory, event: float, until: float) -> float | None:
-    """Seconds from an event until all that run hold the true view and keep it until the next event."""
-    live = [
-        x
-        for x in history.processes
-        if x.started_at <= event + 1e-9 and x.ended_at > event and x.shutdown_requested_at > event
+def time_until_known(history: MembershipHistory, event: float, next_event: float) -> float | None:
+    """Return the seconds from an event until all running instances have and keep the true view."""
+    running = [
+        process
+        for process in history.processes
+        if process.started_at <= event + 1e-9
+        and process.ended_at > event
+        and process.shutdown_requested_at > event
     ]
-    truth = {x.instance: x.start_time_at(until) for x in live}
-    wrong_until = event
-    for process in live:
-        changes = sorted({event, *(change.at for change in process.changes if event < change.at < until)})
-        last = max((at for at in changes if process.view_at(at + 1e-9) != truth), default=None)
-        if last is not None:
-            after = [at for at in changes if at > last]
-            if not after:
+    true_view = {process.instance: process.start_time_at(next_event) for process in running}
+    settled_at = event
+    for process in running:
+        changes = sorted(
+            {event, *(change.at for change in process.changes if event < change.at < next_event)}
+        )
+        last_wrong = max((at for at in changes if process.view_at(at + 1e-9) != true_view), default=None)
+        if last_wrong is not None:
+            later_changes = [at for at in changes if at > last_wrong]
+            if not later_changes:
                 return None
-            wrong_until = max(wrong_until, after[0])
-    return wrong_until - event
+            settled_at = max(settled_at, later_changes[0])
+    return settled_at - event
 
 
-def on_processes(day: Day, out: Path) -> tuple[int, float]:
-    """Words that the switch carried, and seconds that the day took."""
-    driver, began = PollDriver(), time.monotonic()
+def run_on_processes(day: Day, out: Path) -> tuple[int, float]:
+    """Run the day on processes; return the number of datagrams delivered and the duration in seconds."""
+    driver, start = PollDriver(), time.monotonic()
     loop = Loop(driver, lambda event, **fields: click.echo(f"{event} {fields}", err=True))
     rehearsal = Rehearsal(loop, day, out)
     try:
@@ -53,49 +59,49 @@
     finally:
         driver.shutdown()
     assert rehearsal.switch
-    return rehearsal.switch.delivered, time.monotonic() - began
+    return rehearsal.switch.delivered, time.monotonic() - start
 
 
-def cpu() -> float:
-    """Seconds of CPU of this process and of all umpires that have ended."""
+def cpu_seconds() -> float:
+    """Return the CPU seconds of this process and of all instances that have ended."""
     return sum(sum(getrusage(who)[:2]) for who in (RUSAGE_SELF, RUSAGE_CHILDREN))
 
 
 def measure(file: Path, size: int, seed: int, out: Path, processes: bool) -> dict[str, Any]:
     day = replace(read_day(file, seed), instance_count=size)
-    began = cpu()
+    cpu_start = cpu_seconds()
     if processes:
-        words, lasted = on_processes(day, out)
+        datagrams, duration = run_on_processes(day, out)
     else:
-        came = play(day, out)
-        words, lasted = came.messages, came.emulated
+        played = play(day, out)
+        datagrams, duration = played.messages, played.emulated
     membership = read_membership_checker(out)
     history = membership.history
     lines = [json.loads(line) for line in (out / "transcript.jsonl").read_text("utf-8").splitlines()]
-    told = [
-        (x["t"], x["what"])
-        for x in lines
-        if x["at"] in ("umpire", "words")
-        and x["what"]
+    observed = [
+        (line["t"], line["what"])
+        for line in lines
+        if line["at"] in ("umpire", "words")
+        and line["what"]
         in ("killed", "started", "told to leave", "ended", "cut", "healed", "stopped", "continued")
     ]
-    first = max(t for t, what in told[:size])
-    events = [(t, what) for t, what in told if t > first and t < history.ended_at - 1.0]
-    times = {"join of all": known_after(history, first, events[0][0])}
-    for at, (t, what) in enumerate(events):
-        following = events[at + 1][0] if at + 1 < len(events) else history.ended_at
-        if what not in ("cut", "stopped", "told to leave"):
-            times.setdefault(what, known_after(history, t, following))
-    false = sum(b.guarantee == "accuracy" for b in membership.violations())
+    all_started_at = max(at for at, event in observed[:size])
+    events = [(at, event) for at, event in observed if at > all_started_at and at < history.ended_at - 1.0]
+    times = {"join of all": time_until_known(history, all_started_at, events[0][0])}
+    for index, (at, event) in enumerate(events):
+        next_event = events[index + 1][0] if index + 1 < len(events) else history.ended_at
+        if event not in ("cut", "stopped", "told to leave"):
+            times.setdefault(event, time_until_known(history, at, next_event))
+    false_alarms = sum(violation.guarantee == "accuracy" for violation in membership.violations())
     return {
         "umpires": size,
         "seed": seed,
         "known after": times,
         "promises broken": len(membership.violations()),
-        "false": false,
-        "cpu s": round(cpu() - began, 1),
-        "s": round(lasted),
-        "words a second, each": round(words / size / lasted, 1),
+        "false": false_alarms,
+        "cpu s": round(cpu_seconds() - cpu_start, 1),
+        "s": round(duration),
+        "words a second, each": round(datagrams / size / duration, 1),
     }
 
 
@@ -104,7 +110,7 @@
 @click.option("--sizes", default="10,50,170")
 @click.option("--seed", default=1)
 @click.option("--out", type=click.Path(path_type=Path))
-@click.option("--processes", is_flag=True, help="Real processes on loopback in place of the emulator.")
+@click.option("--processes", is_flag=True, help="Run real processes on loopback instead of simulating them.")
 def main(day: Path, sizes: str, seed: int, out: Path | None, processes: bool) -> None:
     folder = out or Path(tempfile.mkdtemp())
     for size in map(int, sizes.split(",")):
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -1,4 +1,4 @@
-"""Long runs of the generated tests of the HTTP ends, the settings and the captures, with fresh chance each time.
+"""Runs the property-based tests of the HTTP parser and of the settings with many newly generated examples.
 
 python bench/fuzz.py --examples 50000
 """
@@ -24,13 +24,13 @@
     import test_reader
     import test_settings
 
-    how = settings(max_examples=examples, deadline=None, database=None)
-    for name, run in (
-        ("http", how(given(*test_reader.ANY_BYTES)(test_reader.check_any_bytes))),
-        ("settings", how(given(st.text(max_size=80))(test_settings.any_line))),
+    fuzz_settings = settings(max_examples=examples, deadline=None, database=None)
+    for name, run_examples in (
+        ("http", fuzz_settings(given(*test_reader.ANY_BYTES)(test_reader.check_any_bytes))),
+        ("settings", fuzz_settings(given(st.text(max_size=80))(test_settings.check_line))),
     ):
         start = time.monotonic()
-        run()
+        run_examples()
         click.echo(f"{name}: {examples} examples in {time.monotonic() - start:.0f} s, no failure")
 
 
--- a/bench/replay_days.py
+++ b/bench/replay_days.py
@@ -1,4 +1,4 @@
-"""Plays a short day with many seeds, every umpire captured, and replays all; then replays with mutated modules.
+"""Runs a short day with many seeds and replays all captures, also with mutated decision code.
 
 python bench/replay_days.py days/short --seeds 100 --at-once 6 --out FOLDER --table docs/measurements/replay.md
 """
@@ -22,7 +22,7 @@
 from stepsail.capture.folder import entries_of, read_runs, replay_segments
 from stepsail.capture.other_builds import load_build
 
-# One constant each, changed by little: module of the package, text, text in its place.
+# Mutants, each with one constant changed slightly: module of the package, original text, replacement.
 MUTANTS = (
     ("timing.py", "TICK_INTERVAL_WHILE_WAITING = 0.05 ", "TICK_INTERVAL_WHILE_WAITING = 0.051 "),
     ("admission.py", "MIN_WINDOW_STEP = 0.5 ", "MIN_WINDOW_STEP = 0.6 "),
@@ -35,19 +35,19 @@
 )
 
 
-def site_with_capture(day: Path, out: Path) -> Path:
-    """The day beside a copy of its site that captures."""
-    text = (day / "day.conf").read_text()
-    name = re.search(r"^site (\S+)", text, re.MULTILINE)
-    assert name
-    site = (day / name[1]).read_text() + "\ncapture kept\n"
+def write_captured_day(day: Path, out: Path) -> Path:
+    """Write a copy of the day whose site enables capture, and return its file."""
+    day_text = (day / "day.conf").read_text()
+    site_match = re.search(r"^site (\S+)", day_text, re.MULTILINE)
+    assert site_match
+    site_text = (day / site_match[1]).read_text() + "\ncapture kept\n"
     out.mkdir(parents=True, exist_ok=True)
-    (out / "site.conf").write_text(site)
-    (out / "day.conf").write_text(re.sub(r"^site \S+", "site site.conf", text, flags=re.MULTILINE))
+    (out / "site.conf").write_text(site_text)
+    (out / "day.conf").write_text(re.sub(r"^site \S+", "site site.conf", day_text, flags=re.MULTILINE))
     return out / "day.conf"
 
 
-def play(day: Path, seed: int, out: Path) -> int:
+def run_day(day: Path, seed: int, out: Path) -> int:
     folder = out / f"seed-{seed}"
     return subprocess.run(
         [
@@ -67,8 +67,8 @@
     ).returncode
 
 
-def mutated(folder: Path, module: str, old: str, new: str) -> ModuleType:
-    """The package with one text in place of another, from a copy in a folder."""
+def load_mutant(folder: Path, module: str, old: str, new: str) -> ModuleType:
+    """Load a copy of the decisions package in which one text is replaced."""
     shutil.copytree(Path(decisions.__file__).parent, folder, ignore=shutil.ignore_patterns("__pycache__"))
     source = (folder / module).read_text()
     assert source.count(old) == 1, old
@@ -77,23 +77,23 @@
 
 
 def replay_all(folder: Path) -> dict[str, float]:
-    """All captures of one rehearsal."""
-    found = dict.fromkeys(("runs", "entries", "differ", "seconds", "took", "taken", "bytes", "damaged"), 0.0)
+    """Replay all captures of one run and return its totals."""
+    totals = dict.fromkeys(("runs", "entries", "differ", "seconds", "took", "taken", "bytes", "damaged"), 0.0)
     captures = read_runs(folder / "kept")
     runs, damaged = captures.runs, captures.damaged
-    found["damaged"] = len(damaged)
+    totals["damaged"] = len(damaged)
     for run in runs:
-        found["runs"] += 1
+        totals["runs"] += 1
         for segments in run.contiguous_segments():
             start = time.process_time()
             replayed = replay_segments(segments, decisions)
-            found["took"] += time.process_time() - start
-            found["entries"] += replayed.entries
-            found["differ"] += replayed.differing
-            found["taken"] += replayed.event_counts.get("request_accepted", 0)
-            found["bytes"] += sum(len(s.data) for s in segments)
-            found["seconds"] += replayed.host.clock - next(entries_of(segments))[1].clock
-    return found
+            totals["took"] += time.process_time() - start
+            totals["entries"] += replayed.entries
+            totals["differ"] += replayed.differing
+            totals["taken"] += replayed.event_counts.get("request_accepted", 0)
+            totals["bytes"] += sum(len(s.data) for s in segments)
+            totals["seconds"] += replayed.host.clock - next(entries_of(segments))[1].clock
+    return totals
 
 
 @click.command()
@@ -103,42 +103,47 @@
 @click.option("--out", required=True, type=click.Path(path_type=Path))
 @click.option("--table", type=click.Path(path_type=Path))
 def main(day: Path, seeds: int, at_once: int, out: Path, table: Path | None) -> None:
-    captured = site_with_capture(day, out)
+    captured_day = write_captured_day(day, out)
     with ThreadPoolExecutor(at_once) as pool:
-        codes = list(pool.map(lambda seed: play(captured, seed, out), range(1, seeds + 1)))
+        codes = list(pool.map(lambda seed: run_day(captured_day, seed, out), range(1, seeds + 1)))
     results = [replay_all(out / f"seed-{seed}") for seed in range(1, seeds + 1)]
-    total = {key: sum(r[key] for r in results) for key in results[0]}
+    total = {key: sum(run[key] for run in results) for key in results[0]}
     rows = []
-    some = [
-        s
+    segments = [
+        capture_segments
         for seed in range(1, 1 + min(5, seeds))
-        for r in read_runs(out / f"seed-{seed}" / "kept").runs
-        for s in r.contiguous_segments()
+        for run in read_runs(out / f"seed-{seed}" / "kept").runs
+        for capture_segments in run.contiguous_segments()
     ]
     for number, (module, old, new) in enumerate(MUTANTS):
-        other = mutated(out / f"mutant-{number}", module, old, new)
-        parted = [replay_segments(s, other).first_difference for s in some]
-        firsts = sorted(d.number for d in parted if d)
-        rows.append(f"| `{old}` | `{new}` | {len(firsts)} of {len(some)} | {firsts[0] if firsts else ''} |")
+        mutant = load_mutant(out / f"mutant-{number}", module, old, new)
+        first_differences = [
+            replay_segments(capture_segments, mutant).first_difference for capture_segments in segments
+        ]
+        entry_numbers = sorted(difference.number for difference in first_differences if difference)
+        rows.append(
+            f"| `{old}` | `{new}` | {len(entry_numbers)} of {len(segments)} | "
+            f"{entry_numbers[0] if entry_numbers else ''} |"
+        )
     text = "\n".join(
         (
-            f"{seeds} rehearsals of `{day.name}` with {seeds} seeds, {at_once} at once, on {os.cpu_count()} cores, "
-            f"Python {platform.python_version()}; boxes and clients are stand-ins (simulated). Exit 0 in "
-            f"{sum(c == 0 for c in codes)}.",
+            f"{seeds} runs of `{day.name}` with {seeds} seeds, {at_once} at a time, on "
+            f"{os.cpu_count()} cores, Python {platform.python_version()}; servers and clients are stand-ins "
+            f"(simulated). Exit code 0 in {sum(code == 0 for code in codes)}.",
             "",
-            f"{total['runs']:.0f} captures (lives of umpires, one of them killed in each rehearsal), "
-            f"{total['entries']:.0f} entries, {total['taken']:.0f} transactions: **{total['differ']:.0f} entries "
+            f"{total['runs']:.0f} captures (instance processes, one of them killed in each run), "
+            f"{total['entries']:.0f} entries, {total['taken']:.0f} requests: **{total['differ']:.0f} entries "
             f"differ**, {total['damaged']:.0f} files damaged.",
             "",
-            f"{total['bytes'] / max(1, total['taken']):.0f} bytes a transaction on disk. Replay takes "
-            f"{total['took'] / max(1, total['entries']) * 1e6:.0f} µs an entry, "
-            f"{total['seconds'] / max(1e-9, total['took']):.0f} times real time for one umpire at "
-            f"{total['taken'] / max(1e-9, total['seconds']):.0f} transactions a second; at 100 a second that is "
-            f"{total['taken'] / max(1e-9, total['took']) / 100:.0f} times.",
+            f"{total['bytes'] / max(1, total['taken']):.0f} bytes per request on disk. Replay takes "
+            f"{total['took'] / max(1, total['entries']) * 1e6:.0f} µs per entry, "
+            f"{total['seconds'] / max(1e-9, total['took']):.0f} times real time for one instance at "
+            f"{total['taken'] / max(1e-9, total['seconds']):.0f} requests per second; at 100 per second "
+            f"that is {total['taken'] / max(1e-9, total['took']) / 100:.0f} times.",
             "",
-            "A module with one constant changed, replayed on the captures of the first rehearsals:",
+            "Decision code with one constant changed, replayed on the captures of the first runs:",
             "",
-            "| constant | changed to | told apart on | first entry that differs |",
+            "| constant | changed to | detected on | first entry that differs |",
             "| --- | --- | --- | --- |",
             *rows,
             "",
--- a/bench/trail_cost.py
+++ b/bench/trail_cost.py
@@ -1,8 +1,9 @@
-"""What the trail costs: latency and rate of one umpire without it and under each guarantee, in one run.
+"""Measures what the audit trail costs: latency and rate of one instance without it and with each durability.
 
     python bench/trail_cost.py --rounds 3 --table docs/measurements/trail-cost.md
 
-Load is open: so many transactions a second, whatever the answers do; latency counts from when each was due.
+The load is open-loop: requests are sent at a fixed rate, independently of the answers, and latency is
+measured from the time at which each request was due.
 """
 
 from __future__ import annotations
@@ -22,92 +23,97 @@
 
 sys.path.insert(0, str(Path(__file__).parent / "relay"))
 
-from measure import PARTS, SETTINGS, cpu, running
+from measure import PARTS_SCRIPT, SETTINGS, cpu_seconds, running_process
 
 from stepsail.standins.instances import free_address
 
 MODES = ("none", "process-crash", "power-loss", "power-loss-each")
-ASKED = b"GET /look HTTP/1.1\r\nhost: x\r\nrequest-timeout: 3.0\r\n\r\n"
+REQUEST = b"GET /look HTTP/1.1\r\nhost: x\r\nrequest-timeout: 3.0\r\n\r\n"
 
 
-async def load(port: int, rate: float, seconds: float) -> list[float]:
-    """Latencies of answers that were 200, from the moment each was due."""
-    free: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-    took: list[float] = []
+async def generate_load(port: int, rate: float, seconds: float) -> list[float]:
+    """Send requests, and return the latencies of those answered with 200, from when each was due."""
+    idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+    latencies: list[float] = []
 
-    async def ask(due: float) -> None:
-        reader, writer = free.pop() if free else await asyncio.open_connection("127.0.0.1", port)
+    async def send_request(due: float) -> None:
+        reader, writer = idle.pop() if idle else await asyncio.open_connection("127.0.0.1", port)
         try:
-            writer.write(ASKED)
+            writer.write(REQUEST)
             head = await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0]))
         except (OSError, asyncio.IncompleteReadError):
             writer.close()
             return
         if head.startswith(b"HTTP/1.1 200"):
-            took.append(time.perf_counter() - due)
-        free.append((reader, writer))
+            latencies.append(time.perf_counter() - due)
+        idle.append((reader, writer))
 
     start, tasks = time.perf_counter(), []
     for number in range(int(rate * seconds)):
         due = start + number / rate
         if due > time.perf_counter():
             await asyncio.sleep(due - time.perf_counter())
-        tasks.append(asyncio.create_task(ask(due)))
+        tasks.append(asyncio.create_task(send_request(due)))
     await asyncio.wait(tasks, timeout=5.0)
-    return took
+    return latencies
 
 
-def one(
-    mode: str, box: int, folder: Path, rates: list[float], seconds: float
+def measure_mode(
+    mode: str, server_port: int, folder: Path, rates: list[float], seconds: float
 ) -> dict[float, tuple[float, ...]]:
     port = free_address()[1]
-    measure = str(Path(__file__).parent / "relay/measure.py")
-    helper = subprocess.Popen([sys.executable, measure, "--services", str(box)], stdout=subprocess.PIPE)
+    script = str(Path(__file__).parent / "relay/measure.py")
+    stand_ins = subprocess.Popen(
+        [sys.executable, script, "--services", str(server_port)], stdout=subprocess.PIPE
+    )
     try:
-        assert helper.stdout
-        conveyor, roster = helper.stdout.readline().split()
-        kept = folder / f"kept-{port}"
-        more = f"trail {kept} {{\n    survives {mode}\n}}\n" if mode != "none" else ""
-        file = folder / f"umpire-{port}.conf"
-        file.write_text(SETTINGS.format(listen=port, conveyor=int(conveyor), roster=int(roster)) + more)
-        found = {}
-        with running("-m", "stepsail", "umpire", str(file)) as umpire:
+        assert stand_ins.stdout
+        control_port, discovery_port = stand_ins.stdout.readline().split()
+        trail_folder = folder / f"kept-{port}"
+        trail_settings = f"trail {trail_folder} {{\n    survives {mode}\n}}\n" if mode != "none" else ""
+        settings_file = folder / f"umpire-{port}.conf"
+        settings_file.write_text(
+            SETTINGS.format(listen=port, conveyor=int(control_port), roster=int(discovery_port))
+            + trail_settings
+        )
+        results = {}
+        with running_process("-m", "stepsail", "umpire", str(settings_file)) as instance:
             time.sleep(2.0)
             for rate in rates:
-                before = cpu(umpire.pid)
-                took = sorted(asyncio.run(load(port, rate, seconds)))
-                used = cpu(umpire.pid) - before
-                n = len(took)
-                found[rate] = (
-                    n / seconds,
-                    took[n // 2] * 1e3,
-                    took[int(n * 0.99)] * 1e3,
-                    used / max(1, n) * 1e6,
+                cpu_before = cpu_seconds(instance.pid)
+                latencies = sorted(asyncio.run(generate_load(port, rate, seconds)))
+                cpu_used = cpu_seconds(instance.pid) - cpu_before
+                count = len(latencies)
+                results[rate] = (
+                    count / seconds,
+                    latencies[count // 2] * 1e3,
+                    latencies[int(count * 0.99)] * 1e3,
+                    cpu_used / max(1, count) * 1e6,
                 )
-        return found
+        return results
     finally:
-        helper.kill()
-        helper.wait()
+        stand_ins.kill()
+        stand_ins.wait()
 
 
-def recovery(folder: Path) -> list[tuple[int, float]]:
-    """Seconds from opening a trail of so many segments to its first write."""
+def measure_recovery(folder: Path) -> list[tuple[int, float]]:
+    """Return the number of entries and the seconds to open the trail, for trails of 1, 8 and 32 segments."""
     from stepsail.trail.availability import Durability, FullPolicy
     from stepsail.trail.committer import TrailOptions, TrailWriter
     from stepsail.trail.entries import CHAIN_START, EntryKind, encode
 
-    found = []
+    times = []
     for count in (1, 8, 32):
-        kept = folder / f"recover-{count}"
+        trail_folder = folder / f"recover-{count}"
 
-        def opened(kept: Path = kept) -> TrailWriter:
+        def open_trail(trail_folder: Path = trail_folder) -> TrailWriter:
             options = TrailOptions(Durability.PROCESS_CRASH, FullPolicy.REJECT)
-            return TrailWriter(kept, 0, options, lambda call: call(), lambda event, **fields: None)
+            return TrailWriter(trail_folder, 0, options, lambda call: call(), lambda event, **fields: None)
 
-        trail = opened()
+        trail = open_trail()
         trail.close()
-        trail = opened()
+        trail = open_trail()
         entry = encode(
             EntryKind.ANSWER,
             1.0,
@@ -128,12 +134,12 @@
             log.open_segment(1.0, [])
             while log.segment_bytes < 16 << 20:
                 log.append([entry] * 2000, 1.0)
-        log.close_segment()  # as a kill would leave it
+        log.close_segment()  # leaves the segment as a kill would
         start = time.perf_counter()
-        trail = opened()
-        found.append((log.position.seq, time.perf_counter() - start))
+        trail = open_trail()
+        times.append((log.position.seq, time.perf_counter() - start))
         trail.close()
-    return found
+    return times
 
 
 @click.command()
@@ -142,46 +148,51 @@
 @click.option("--table", type=click.Path(path_type=Path))
 def main(rounds: int, seconds: float, table: Path | None) -> None:
     rates = [10.0, 100.0, 1000.0]
-    box = free_address()[1]
+    server_port = free_address()[1]
     with contextlib.ExitStack() as stack:
-        stack.enter_context(running(PARTS, "box", str(box)))
+        stack.enter_context(running_process(PARTS_SCRIPT, "box", str(server_port)))
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         time.sleep(1.0)
-        results = [{mode: one(mode, box, folder, rates, seconds) for mode in MODES} for _ in range(rounds)]
-        recovered = recovery(folder)
+        results = [
+            {mode: measure_mode(mode, server_port, folder, rates, seconds) for mode in MODES}
+            for _ in range(rounds)
+        ]
+        recovery_times = measure_recovery(folder)
     rows = []
     for rate in rates:
         for mode in MODES:
-            mine = [r[mode][rate] for r in results]
-            ratio = median(r[mode][rate][1] / r["none"][rate][1] for r in results)
+            mode_results = [result[mode][rate] for result in results]
+            ratio = median(result[mode][rate][1] / result["none"][rate][1] for result in results)
             rows.append(
                 f"| {rate:g} | {mode} | "
                 + " | ".join(
-                    f"{median(m[i] for m in mine):.{d}f}" for i, d in ((0, 0), (1, 2), (2, 2), (3, 0))
+                    f"{median(figures[index] for figures in mode_results):.{digits}f}"
+                    for index, digits in ((0, 0), (1, 2), (2, 2), (3, 0))
                 )
                 + f" | {ratio:.2f} |"
             )
     text = "\n".join(
         (
-            f"{rounds} rounds of {seconds:g} s a rate, the four in turn, on {os.cpu_count()} cores, Python "
-            f"{platform.python_version()}, everything on loopback; the box answers at once.",
+            f"{rounds} rounds of {seconds:g} s per rate, the four durabilities in turn, on "
+            f"{os.cpu_count()} cores, Python {platform.python_version()}, everything on loopback; "
+            "the server answers at once.",
             "",
-            "| asked a second | survives | answered a second | median ms | 99% ms | CPU a transaction, µs | median "
-            "against none |",
+            "| requests per second | survives | served per second | median, ms | p99, ms | "
+            "CPU per request, µs | median relative to none |",
             "| --- | --- | --- | --- | --- | --- | --- |",
             *rows,
             "",
-            "Opening a trail after a kill, by its size:",
+            "Time to open a trail after a kill, by its size:",
             "",
             "| entries | s |",
             "| --- | --- |",
-            *(f"| {n} | {s:.2f} |" for n, s in recovered),
+            *(f"| {count} | {duration:.2f} |" for count, duration in recovery_times),
             "",
         )
     )
     click.echo(text)
     if table:
-        table.write_text("# What the trail costs\n\n" + text)
+        table.write_text("# Cost of the audit trail\n\n" + text)
 
 
 if __name__ == "__main__":
--- a/bench/trail_doctored.py
+++ b/bench/trail_doctored.py
@@ -1,9 +1,9 @@
-"""Doctors a trail in every way that is listed, at every entry, and counts what an audit with the public key finds.
+"""Tampers with an audit trail at every entry, and counts what an audit with the public key detects.
 
     python bench/trail_doctored.py --table docs/measurements/trail-doctored.md
 
-Entries are changed as somebody would who has everything but the key: numbers, lengths and checksums are made right
-again, and the heads stay as they were signed.
+The changes are those of an attacker who has everything but the private key: sequence numbers, lengths and
+checksums are made consistent again, and the signed heads stay unchanged.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from stepsail.trail.log import TrailLog
 from stepsail.trail.segments import TITLE, FrameKind, SegmentCatalog, SignedHead, parse_segment
 
-FILES, EACH = 3, 12
+FILES, ANSWERS_PER_FILE = 3, 12
 
 
-def answer(number: int) -> bytes:
+def make_answer(number: int) -> bytes:
     return encode(
         EntryKind.ANSWER,
         1000.0 + number,
@@ -36,122 +36,143 @@
     )
 
 
-def written(folder: Path, key: SigningKey) -> tuple[TrailLog, list[SignedHead]]:
-    """A closed trail of some files, and its heads."""
+def write_trail(folder: Path, key: SigningKey) -> tuple[TrailLog, list[SignedHead]]:
+    """Write a closed trail of `FILES` files, and return its log and its signed heads."""
     log, heads = TrailLog(RealDisk(folder), 0, "run", key, folder), list[SignedHead]()
-    for at in range(FILES):
+    for file_index in range(FILES):
         log.open_segment(1.0, [])
-        log.append([answer(at * EACH + n) for n in range(EACH)], 1.0)
+        log.append([make_answer(file_index * ANSWERS_PER_FILE + n) for n in range(ANSWERS_PER_FILE)], 1.0)
         heads.append(log.sign_head(1.0))
         log.seal_segment(1.0)
     return log, heads
 
 
-def rewritten(data: bytes, file: Path, change: Callable[[list[bytes]], list[bytes]]) -> bytes:
+def rewrite_entries(data: bytes, file: Path, change: Callable[[list[bytes]], list[bytes]]) -> bytes:
     segment = parse_segment(file.name, data, file)
-    first = next(f.first_entry for f in segment.frames if f.kind == FrameKind.BATCH)
+    first = next(frame.first_entry for frame in segment.frames if frame.kind == FrameKind.BATCH)
     entries = change(
-        [e for f in segment.frames if f.kind == FrameKind.BATCH for e in split_entries(f.payload(data))]
+        [
+            entry
+            for frame in segment.frames
+            if frame.kind == FrameKind.BATCH
+            for entry in split_entries(frame.payload(data))
+        ]
     )
     parts = [TITLE, encode_frame(FrameKind.BATCH, join_entries(entries), first, 0.0)]
     parts += [
-        encode_frame(FrameKind.HEAD, f.payload(data), f.first_entry, f.clock)
-        for f in segment.frames
-        if f.kind == FrameKind.HEAD
+        encode_frame(FrameKind.HEAD, frame.payload(data), frame.first_entry, frame.clock)
+        for frame in segment.frames
+        if frame.kind == FrameKind.HEAD
     ]
     return b"".join(parts)
 
 
-def edited(entry: bytes, **fields: object) -> bytes:
-    kind, wall, known = decode(entry)
-    return encode(EntryKind(kind), wall, **(known | fields))
+def edit_entry(entry: bytes, **fields: object) -> bytes:
+    kind, wall, old_fields = decode(entry)
+    return encode(EntryKind(kind), wall, **(old_fields | fields))
 
 
-def changes() -> Iterator[tuple[str, Callable[[list[bytes]], list[bytes]]]]:
-    """Every change of a list of entries: its kind, and what it does. Entry 0 is the START."""
-    for at in range(1, EACH + 1):
-        yield "an entry removed", lambda e, at=at: e[:at] + e[at + 1 :]
-        yield "an entry put in", lambda e, at=at: [*e[:at], answer(999), *e[at:]]
-        yield "an entry doubled", lambda e, at=at: [*e[:at], e[at], *e[at:]]
-        yield "a status changed", lambda e, at=at: [*e[:at], edited(e[at], status=201), *e[at + 1 :]]
-        yield "a receipt changed", lambda e, at=at: [*e[:at], edited(e[at], receipt="x"), *e[at + 1 :]]
-        if at < EACH:
-            yield "two entries swapped", lambda e, at=at: [*e[:at], e[at + 1], e[at], *e[at + 2 :]]
-    yield "all answers removed", lambda e: e[:1]
-    yield "the START changed", lambda e: [edited(e[0], run="other"), *e[1:]]
+def entry_changes() -> Iterator[tuple[str, Callable[[list[bytes]], list[bytes]]]]:
+    """Yield the changes to the entries of a file, as kind and function. Entry 0 is the START entry."""
+    for at in range(1, ANSWERS_PER_FILE + 1):
+        yield "an entry removed", lambda entries, at=at: entries[:at] + entries[at + 1 :]
+        yield "an entry inserted", lambda entries, at=at: [*entries[:at], make_answer(999), *entries[at:]]
+        yield "an entry duplicated", lambda entries, at=at: [*entries[:at], entries[at], *entries[at:]]
+        yield (
+            "a status changed",
+            lambda entries, at=at: [*entries[:at], edit_entry(entries[at], status=201), *entries[at + 1 :]],
+        )
+        yield (
+            "a receipt changed",
+            lambda entries, at=at: [*entries[:at], edit_entry(entries[at], receipt="x"), *entries[at + 1 :]],
+        )
+        if at < ANSWERS_PER_FILE:
+            yield (
+                "two entries swapped",
+                lambda entries, at=at: [*entries[:at], entries[at + 1], entries[at], *entries[at + 2 :]],
+            )
+    yield "all ANSWER entries removed", lambda entries: entries[:1]
+    yield "the START entry changed", lambda entries: [edit_entry(entries[0], run="other"), *entries[1:]]
 
 
 @click.command()
 @click.option("--table", type=click.Path(path_type=Path))
 def main(table: Path | None) -> None:
-    tried: dict[str, list[int]] = {}
+    counts_by_change: dict[str, list[int]] = {}
 
-    def judge(what: str, folder: Path, public: bytes, heads: Sequence[SignedHead] = ()) -> None:
-        counts = tried.setdefault(what, [0, 0])
+    def audit(kind: str, folder: Path, public: bytes, heads: Sequence[SignedHead] = ()) -> None:
+        counts = counts_by_change.setdefault(kind, [0, 0])
         counts[0] += 1
         counts[1] += bool(audit_trail(folder, public, heads).findings)
 
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         key = SigningKey.create(folder)
-        log, heads = written(folder, key)
+        log, heads = write_trail(folder, key)
         files = sorted(folder.glob("*.trail"))
-        kept = {f: f.read_bytes() for f in files}
+        original_data = {file: file.read_bytes() for file in files}
         assert audit_trail(folder, key.public, heads).findings == []
         for file in files:
-            for what, change in changes():
-                file.write_bytes(rewritten(kept[file], file, change))
-                judge(what, folder, key.public)
-            for at in range(len(kept[file])):
+            for kind, change in entry_changes():
+                file.write_bytes(rewrite_entries(original_data[file], file, change))
+                audit(kind, folder, key.public)
+            for at in range(len(original_data[file])):
                 file.write_bytes(
-                    kept[file][:at] + bytes([kept[file][at] ^ 1 << at % 8]) + kept[file][at + 1 :]
+                    original_data[file][:at]
+                    + bytes([original_data[file][at] ^ 1 << at % 8])
+                    + original_data[file][at + 1 :]
                 )
-                judge("one bit flipped (a bit of every byte)", folder, key.public)
-            file.write_bytes(kept[file])
+                audit("one bit flipped (a bit of every byte)", folder, key.public)
+            file.write_bytes(original_data[file])
         for file in files:
             file.unlink()
-            judge(
+            audit(
                 "a file removed"
                 if file is not files[-1]
-                else "the last file removed, with a published head of it",
+                else "the last file removed, but its heads were published",
                 folder,
                 key.public,
                 heads if file is files[-1] else (),
             )
-            file.write_bytes(kept[file])
-        last = parse_segment(files[-1].name, kept[files[-1]], files[-1])
+            file.write_bytes(original_data[file])
+        last = parse_segment(files[-1].name, original_data[files[-1]], files[-1])
         answers = next(
-            f
-            for f in last.frames
-            if f.kind == FrameKind.BATCH and f.first_entry != last.frames[0].first_entry
+            frame
+            for frame in last.frames
+            if frame.kind == FrameKind.BATCH and frame.first_entry != last.frames[0].first_entry
         )
-        for one in [
-            f for f in last.frames if f.end < answers.end
-        ]:  # behind that only a head that says the same
-            files[-1].write_bytes(kept[files[-1]][: one.end])
-            judge("cut behind a published head", folder, key.public, heads + list(last.heads()))
-        files[-1].write_bytes(kept[files[-1]])
-        other = Path(name) / "other"
-        other.mkdir()
-        written(other, SigningKey.create(other))
-        judge("all of it signed anew by another key", other, key.public)
+        # A cut after the answers would only remove a head that is equal to the published one.
+        for frame in [frame for frame in last.frames if frame.end < answers.end]:
+            files[-1].write_bytes(original_data[files[-1]][: frame.end])
+            audit(
+                "the last file truncated before a published head",
+                folder,
+                key.public,
+                heads + list(last.heads()),
+            )
+        files[-1].write_bytes(original_data[files[-1]])
+        other_folder = Path(name) / "other"
+        other_folder.mkdir()
+        write_trail(other_folder, SigningKey.create(other_folder))
+        audit("the whole trail replaced by one signed with another key", other_folder, key.public)
         oldest = SegmentCatalog(RealDisk(folder), folder).sealed(1).oldest[0]
         follows = oldest.successor_follows
         log.open_segment(2.0, [])
-        word = encode(
+        retired_entry = encode(
             EntryKind.RETIRED, 2.0, file=oldest.name, follows=follows.seq, link=follows.link, why="age"
         )
-        log.append([word], 2.0)
+        log.append([retired_entry], 2.0)
         files[0].unlink()
-        judge("a file removed, with an unsigned word that it was retired", folder, key.public)
-    rows = [f"| {what} | {count} | {found} |" for what, (count, found) in tried.items()]
+        audit("a file removed, with an unsigned RETIRED entry for it", folder, key.public)
+    rows = [f"| {kind} | {count} | {found} |" for kind, (count, found) in counts_by_change.items()]
     text = "\n".join(
         (
-            f"A trail of {FILES} files with {EACH} answers each; every change at every place, then an audit with the "
-            "public key (and published heads where told). Entries that are put behind the last head, and what stands "
-            "there, are bound by checksums alone until the next head, five seconds later.",
+            f"A trail of {FILES} files with {ANSWERS_PER_FILE} ANSWER entries each. Every change is made at "
+            "every position, followed by an audit with the public key (and with published heads where "
+            "stated). Entries after the last head are protected only by checksums until the next head is "
+            "signed, five seconds later.",
             "",
-            "| change | tried | found |",
+            "| change | made | detected |",
             "| --- | --- | --- |",
             *rows,
             "",
@@ -159,7 +180,7 @@
     )
     click.echo(text)
     if table:
-        table.write_text("# Doctored trails\n\n" + text)
+        table.write_text("# Tampering with audit trails\n\n" + text)
 
 
 if __name__ == "__main__":
--- a/bench/trail_kills.py
+++ b/bench/trail_kills.py
@@ -1,9 +1,9 @@
-"""Kills an umpire again and again under load, and holds its trail against what the clients received.
+"""Kills instances repeatedly under load, and compares their audit trails with what the clients received.
 
     python bench/trail_kills.py --kills 500 --at-once 6 --out FOLDER --table docs/measurements/trail-kills.md
 
-Several umpires run side by side, each with a trail of its own, boxes and clients of its own, as one process of
-stand-ins and one umpire process. At random moments the umpire gets SIGKILL and is started again.
+Several instances run in parallel, each with its own audit trail, servers and clients: one process for the
+stand-ins and one for the instance. At random times the instance is killed with SIGKILL and restarted.
 """
 
 from __future__ import annotations
@@ -44,15 +44,15 @@
 """
 
 
-def one(folder: Path, seed: int, kills: int) -> dict[str, Any]:
-    """One umpire's run, in this process; prints its figures as JSON."""
+def run_instance(folder: Path, seed: int, kills: int) -> dict[str, Any]:
+    """Run one instance from this process, and return its results."""
     folder.mkdir(parents=True)
-    site = Path("days/bad-day/site.conf").read_text()
+    site_text = Path("days/bad-day/site.conf").read_text()
     random, at, troubles = Random(seed), 1.0, []
     for _ in range(kills):
         troubles.append(f"trouble kill-umpire at {at:.3f}s for 10ms of 0")
         at += random.uniform(1.0, 1.6)
-    (folder / "site.conf").write_text(site + "\ntrail kept {\n    segment 256k\n}\n")
+    (folder / "site.conf").write_text(site_text + "\ntrail kept {\n    segment 256k\n}\n")
     (folder / "day.conf").write_text(DAY.format(length=round(at + 2)) + "\n".join(troubles) + "\n")
     day = read_day(folder / "day.conf")
     day.seed = seed
@@ -60,25 +60,27 @@
     rehearsal = Rehearsal(Loop(driver, lambda event, **fields: None), day, folder / "out")
     rehearsal.loop.run(rehearsal.run)
     driver.shutdown()
-    lines = [json.loads(x) for x in (folder / "out/transcript.jsonl").read_bytes().splitlines()]
-    received = [x for x in lines if x["at"] == "client" and x["what"] == "answer"]
+    transcript_lines = [
+        json.loads(line) for line in (folder / "out/transcript.jsonl").read_bytes().splitlines()
+    ]
+    received = [line for line in transcript_lines if line["at"] == "client" and line["what"] == "answer"]
     trail = folder / "out/kept"
     agreement = reconcile(read_entries(trail), received)
-    judged = audit_trail(trail, read_public_key(trail))
-    breaches = verify(read_history(folder / "out/transcript.jsonl"))
+    audit = audit_trail(trail, read_public_key(trail))
+    violations = verify(read_history(folder / "out/transcript.jsonl"))
     return {
-        "kills": sum(x["at"] == "umpire" and x["what"] == "killed" for x in lines),
+        "kills": sum(line["at"] == "umpire" and line["what"] == "killed" for line in transcript_lines),
         "received": agreement.received,
         "kept": agreement.recorded,
         "agree": agreement.matching,
         "open": agreement.unconfirmed,
         "faults": agreement.discrepancies[:5],
-        "findings": [str(f) for f in judged.findings[:5]],
-        "entries": judged.entries,
-        "breaches": len(breaches),
-        "breach": [str(b) for b in breaches[:2]],
-        "bytes": sum(f.stat().st_size for f in trail.glob("*.trail")),
-        "notes": sum("torn" in n for n in judged.notes),
+        "findings": [str(finding) for finding in audit.findings[:5]],
+        "entries": audit.entries,
+        "breaches": len(violations),
+        "breach": [str(violation) for violation in violations[:2]],
+        "bytes": sum(file.stat().st_size for file in trail.glob("*.trail")),
+        "notes": sum("torn" in note for note in audit.notes),
     }
 
 
@@ -90,17 +92,17 @@
 @click.option("--seed", type=int, hidden=True)
 def main(kills: int, at_once: int, out: Path, table: Path | None, seed: int | None) -> None:
     if seed is not None:
-        click.echo(json.dumps(one(out, seed, kills)))
+        click.echo(json.dumps(run_instance(out, seed, kills)))
         return
-    each = -(-kills // at_once)
+    kills_per_instance = -(-kills // at_once)
 
-    def play(number: int) -> dict[str, Any]:
-        done = subprocess.run(
+    def run_process(number: int) -> dict[str, Any]:
+        process = subprocess.run(
             [
                 sys.executable,
                 __file__,
                 "--kills",
-                str(each),
+                str(kills_per_instance),
                 "--out",
                 str(out / f"umpire-{number}"),
                 "--seed",
@@ -109,32 +111,36 @@
             capture_output=True,
             text=True,
         )
-        if done.returncode:
-            click.echo(done.stderr[-2000:], err=True)
+        if process.returncode:
+            click.echo(process.stderr[-2000:], err=True)
             raise SystemExit(1)
-        found: dict[str, Any] = json.loads(done.stdout.splitlines()[-1])
-        return found
+        result: dict[str, Any] = json.loads(process.stdout.splitlines()[-1])
+        return result
 
     with ThreadPoolExecutor(at_once) as pool:
-        results = list(pool.map(play, range(1, at_once + 1)))
-    total = {
-        key: sum(r[key] for r in results)
+        results = list(pool.map(run_process, range(1, at_once + 1)))
+    totals = {
+        key: sum(result[key] for result in results)
         for key in ("kills", "received", "kept", "agree", "open", "entries", "breaches", "bytes", "notes")
     }
-    faults = [x for r in results for x in (*r["faults"], *r["findings"], *r["breach"])]
+    faults = [
+        fault for result in results for fault in (*result["faults"], *result["findings"], *result["breach"])
+    ]
     text = "\n".join(
         (
-            f"{at_once} umpires side by side, each killed (SIGKILL) {each} times at random moments under 120 "
-            f"transactions a second, on {os.cpu_count()} cores, Python {platform.python_version()}; boxes and "
-            "clients are stand-ins; each answer is synced to the disk before it is given (`survives power-loss`).",
+            f"{at_once} instances in parallel, each killed (SIGKILL) {kills_per_instance} times at "
+            f"random times under 120 requests per second, on {os.cpu_count()} cores, Python "
+            f"{platform.python_version()}; servers and clients are stand-ins; each answer "
+            "is synced to disk before it is sent (`survives power-loss`).",
             "",
-            f"- kills: {total['kills']}; answers that clients received: {total['received']}; answers kept: "
-            f"{total['kept']}",
-            f"- received and in the trail once, unaltered: **{total['agree']} of {total['received']}**",
-            f"- kept, and neither confirmed as sent nor received (the kill fell between): {total['open']}",
-            f"- torn tails left by kills: {total['notes']}; entries audited: {total['entries']}; "
-            f"{total['bytes'] / max(1, total['entries']):.0f} bytes an entry",
-            f"- rules broken on the same runs: {total['breaches']}",
+            f"- kills: {totals['kills']}; answers received by clients: {totals['received']}; "
+            f"answers recorded: {totals['kept']}",
+            f"- received, and recorded exactly once and unaltered: "
+            f"**{totals['agree']} of {totals['received']}**",
+            f"- recorded, but neither confirmed as sent nor received (killed in between): {totals['open']}",
+            f"- torn writes at the ends of trails: {totals['notes']}; entries audited: {totals['entries']}; "
+            f"{totals['bytes'] / max(1, totals['entries']):.0f} bytes per entry",
+            f"- rules violated in the same runs: {totals['breaches']}",
             "",
             "Faults: " + ("none." if not faults else "; ".join(faults[:10])),
             "",
--- a/bench/trail_size.py
+++ b/bench/trail_size.py
@@ -1,4 +1,4 @@
-"""A trail of ten million entries: opened, gone on with, and verified, in how much memory and time.
+"""Measures the time and memory needed to open and to verify audit trails of up to ten million entries.
 
 python bench/trail_size.py --entries 10000000 --table docs/measurements/trail-size.md
 """
@@ -22,29 +22,29 @@
 from stepsail.trail.keys import SigningKey
 from stepsail.trail.log import TrailLog
 
-MEASURED = """
+MEASURE_CODE = """
 import resource, sys, time
 from pathlib import Path
 start = time.perf_counter()
-{what}
+{code}
 print(time.perf_counter() - start, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, found)
 """
-VERIFY = """
+VERIFY_CODE = """
 report = audit_trail(Path(sys.argv[1]))
 found = f"{report.entries} entries, {report.valid_heads} heads, {len(report.findings)} findings"
 """
-IMPORT = "import stepsail.trail.audit\nfound = 'nothing but the program'"
+IMPORT_CODE = "import stepsail.trail.audit\nfound = 'nothing but the program'"
 
 
-def measured(what: str, folder: Path) -> tuple[float, float, str]:
-    """Seconds, peak MiB and what was found, in a process of its own."""
-    done = subprocess.run(
-        [sys.executable, "-c", MEASURED.format(what=what), str(folder)],
+def measure(code: str, folder: Path) -> tuple[float, float, str]:
+    """Run code in a process of its own; return the seconds, the peak MiB and the value of `found`."""
+    process = subprocess.run(
+        [sys.executable, "-c", MEASURE_CODE.format(code=code), str(folder)],
         capture_output=True,
         text=True,
         check=True,
     )
-    seconds, mib, found = done.stdout.strip().split(" ", 2)
+    seconds, mib, found = process.stdout.strip().split(" ", 2)
     return float(seconds), float(mib), found
 
 
@@ -53,12 +53,12 @@
 @click.option("--table", type=click.Path(path_type=Path))
 def main(entries: int, table: Path | None) -> None:
     rows = []
-    with tempfile.TemporaryDirectory(dir=".") as name:
-        folder = Path(name)
+    with tempfile.TemporaryDirectory(dir=".") as folder_name:
+        folder = Path(folder_name)
         log = TrailLog(RealDisk(folder), 0, "run", SigningKey.create(folder), folder)
         written = 0
-        for part in (100, 10, 1):
-            while written < entries // part:
+        for divisor in (100, 10, 1):
+            while written < entries // divisor:
                 if log.fd is None or log.segment_bytes >= 16 << 20:
                     log.seal_segment(1.0)
                     log.open_segment(1.0, [])
@@ -79,28 +79,28 @@
                 ]
                 log.append(batch, 1.0)
                 written += 500
-            log.close_segment()  # as a kill leaves it
+            log.close_segment()  # leaves the segment as a kill would
             start = time.perf_counter()
             options = TrailOptions(Durability.POWER_LOSS, FullPolicy.REJECT)
             trail = TrailWriter(folder, 0, options, lambda call: call(), lambda event, **fields: None)
-            opened = time.perf_counter() - start
+            opening_time = time.perf_counter() - start
             trail.close()
             log.recover()
-            seconds, mib, found = measured(VERIFY, folder)
-            size = sum(f.stat().st_size for f in folder.iterdir()) / 2**20
-            rows.append(f"| {found} | {size:.0f} | {opened:.2f} | {seconds:.1f} | {mib:.0f} |")
-    _, base, _ = measured(IMPORT, Path("."))
+            seconds, mib, found = measure(VERIFY_CODE, folder)
+            size = sum(file.stat().st_size for file in folder.iterdir()) / 2**20
+            rows.append(f"| {found} | {size:.0f} | {opening_time:.2f} | {seconds:.1f} | {mib:.0f} |")
+    _, import_mib, _ = measure(IMPORT_CODE, Path("."))
     text = "\n".join(
         (
-            f"Answers of one umpire in files of 16 MiB, on {os.cpu_count()} cores, "
+            f"Answers of one instance in files of 16 MiB, on {os.cpu_count()} cores, "
             f"Python {platform.python_version()}; "
-            "each size is opened as after a kill, then verified by a process of its own.",
+            "the trail of each size is opened as after a kill, then verified by a process of its own.",
             "",
-            "| trail | MiB | opened after a kill, s | verified, s | peak memory of verifying, MiB |",
+            "| trail | MiB | opening after a kill, s | verification, s | peak memory of verification, MiB |",
             "| --- | --- | --- | --- | --- |",
             *rows,
             "",
-            f"A process that only loads the program takes {base:.0f} MiB.",
+            f"A process that only imports the program takes {import_mib:.0f} MiB.",
             "",
         )
     )
--- a/bench/trail_store.py
+++ b/bench/trail_store.py
@@ -1,9 +1,9 @@
-"""Our log against SQLite in WAL mode and LMDB on a trail's workload: batches of answers, one after the other.
+"""Compares the trail's own log with SQLite in WAL mode and with LMDB, for batches of ANSWER entries.
 
     python bench/trail_store.py --rounds 5 --table docs/measurements/trail-store.md
 
-Every store gets the same bytes, entry by entry under its number, with the chain of links kept in each, as an audit
-needs it whatever holds the entries. Stores take turns in each round; ratios are taken within a round.
+Every store gets the same entries by sequence number and the hash chain over them, which an audit needs in any
+store. The stores take turns in each round; ratios are computed within a round.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
     label="",
     request="12-345",
 )
-Put = Callable[[list[bytes]], None]
+PutBatch = Callable[[list[bytes]], None]
 
 
-class Own:
-    """The trail's log, synced after each batch or not at all."""
+class OwnLog:
+    """Stores entries in the trail's own log, synced after each batch or never."""
 
     def __init__(self, folder: Path, synced: bool) -> None:
         self.folder, self.synced = folder, synced
@@ -63,8 +63,11 @@
         self.log.seal_segment(1.0)
 
 
-class Sqlite:
-    """One table, one transaction a batch. FULL syncs the WAL at each commit; NORMAL leaves that to checkpoints."""
+class SqliteStore:
+    """Stores entries in one SQLite table, with one transaction per batch.
+
+    `synchronous=full` syncs the WAL at each commit; `normal` syncs it only at checkpoints.
+    """
 
     def __init__(self, folder: Path, synced: bool) -> None:
         self.db = sqlite3.connect(folder / "trail.db", isolation_level=None)
@@ -73,13 +76,13 @@
         self.db.execute(
             "create table trail (seq integer primary key, entry blob not null, link blob not null)"
         )
-        self.seq, self.chain = 0, FIRST_LINK
+        self.seq, self.last_link = 0, FIRST_LINK
 
     def put(self, batch: list[bytes]) -> None:
         rows = []
         for entry in batch:
-            self.chain = next_link(self.chain, entry)
-            rows.append((self.seq + len(rows), entry, self.chain))
+            self.last_link = next_link(self.last_link, entry)
+            rows.append((self.seq + len(rows), entry, self.last_link))
         self.db.execute("begin")
         self.db.executemany("insert into trail values (?, ?, ?)", rows)
         self.db.execute("commit")
@@ -98,18 +101,18 @@
         self.db.close()
 
 
-class Lmdb:
-    """One database, one write transaction a batch."""
+class LmdbStore:
+    """Stores entries in one LMDB database, with one write transaction per batch."""
 
     def __init__(self, folder: Path, synced: bool) -> None:
         self.env = lmdb.open(str(folder), map_size=4 << 30, sync=synced)
-        self.seq, self.chain = 0, FIRST_LINK
+        self.seq, self.last_link = 0, FIRST_LINK
 
     def put(self, batch: list[bytes]) -> None:
         with self.env.begin(write=True) as txn:
             for entry in batch:
-                self.chain = next_link(self.chain, entry)
-                txn.put(self.seq.to_bytes(8, "big"), self.chain + entry, append=True)
+                self.last_link = next_link(self.last_link, entry)
+                txn.put(self.seq.to_bytes(8, "big"), self.last_link + entry, append=True)
                 self.seq += 1
 
     def read(self) -> int:
@@ -122,35 +125,34 @@
         self.env.close()
 
 
-STORES: dict[str, type[Any]] = {"own log": Own, "SQLite, WAL": Sqlite, "LMDB": Lmdb}
+STORES: dict[str, type[Any]] = {"own log": OwnLog, "SQLite, WAL": SqliteStore, "LMDB": LmdbStore}
 
 
-def one(make: type[Any], synced: bool, batch: int, seconds: float) -> dict[str, float]:
-    with tempfile.TemporaryDirectory(
-        dir="."
-    ) as name:  # on the disk that the project stands on, not in memory
-        folder = Path(name)
-        store = make(folder, synced)
-        took, done, used = [], 0, time.process_time()
+def measure_store(make_store: type[Any], synced: bool, batch: int, seconds: float) -> dict[str, float]:
+    # In the working directory, which is on a disk; the default folder may be in memory.
+    with tempfile.TemporaryDirectory(dir=".") as folder_name:
+        folder = Path(folder_name)
+        store = make_store(folder, synced)
+        durations, entry_count, cpu_time = [], 0, time.process_time()
         end = time.perf_counter() + seconds
         while (start := time.perf_counter()) < end:
             store.put([ENTRY] * batch)
-            took.append(time.perf_counter() - start)
-            done += batch
-        used = time.process_time() - used
-        took.sort()
+            durations.append(time.perf_counter() - start)
+            entry_count += batch
+        cpu_time = time.process_time() - cpu_time
+        durations.sort()
         start = time.perf_counter()
         count = store.read()
-        reading = time.perf_counter() - start
+        read_time = time.perf_counter() - start
         store.close()
-        size = sum(f.stat().st_size for f in folder.iterdir())
+        size = sum(file.stat().st_size for file in folder.iterdir())
         return {
-            "rate": done / sum(took),
-            "cpu": used / done * 1e6,
-            "median": took[len(took) // 2] * 1e3,
-            "p99": took[int(len(took) * 0.99)] * 1e3,
+            "rate": entry_count / sum(durations),
+            "cpu": cpu_time / entry_count * 1e6,
+            "median": durations[len(durations) // 2] * 1e3,
+            "p99": durations[int(len(durations) * 0.99)] * 1e3,
             "bytes": size / count,
-            "read": reading / count * 1e6,
+            "read": read_time / count * 1e6,
         }
 
 
@@ -163,17 +165,20 @@
     for synced in (True, False):
         for batch in (1, 20, 200):
             results = [
-                {name: one(make, synced, batch, seconds) for name, make in STORES.items()}
+                {
+                    name: measure_store(make_store, synced, batch, seconds)
+                    for name, make_store in STORES.items()
+                }
                 for _ in range(rounds)
             ]
             for name in STORES:
-                mine = [r[name] for r in results]
-                ratio = median(r[name]["cpu"] / r["own log"]["cpu"] for r in results)
+                store_results = [result[name] for result in results]
+                ratio = median(result[name]["cpu"] / result["own log"]["cpu"] for result in results)
                 rows.append(
                     f"| {'yes' if synced else 'no'} | {batch} | {name} | "
                     + " | ".join(
-                        f"{median(m[what] for m in mine):.{digits}f}"
-                        for what, digits in (
+                        f"{median(figures[metric] for figures in store_results):.{digits}f}"
+                        for metric, digits in (
                             ("rate", 0),
                             ("median", 2),
                             ("p99", 2),
@@ -189,10 +194,10 @@
             f"{rounds} rounds of {seconds:g} s each, the stores in turn, entries of {len(ENTRY)} bytes, on "
             f"{os.cpu_count()} cores, Python {platform.python_version()}, SQLite {sqlite3.sqlite_version}, "
             f"LMDB {'.'.join(map(str, lmdb.version()))}. "
-            f"*Synced*: each batch is safe from power loss before the next begins.",
+            f"*Synced*: each batch is durable, also after a power loss, before the next begins.",
             "",
-            "| synced | entries a batch | store | entries a second | commit, median ms | 99% ms | CPU an entry, µs | "
-            "bytes an entry | reading an entry, µs | CPU against own log |",
+            "| synced | entries per batch | store | entries per second | median commit, ms | p99, ms | "
+            "CPU per entry, µs | bytes per entry | read time per entry, µs | CPU relative to own log |",
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
             *rows,
             "",
@@ -202,7 +207,7 @@
     )
     click.echo(text)
     if table:
-        table.write_text("# What could hold a trail\n\n" + text)
+        table.write_text("# Stores for audit trails\n\n" + text)
 
 
 if __name__ == "__main__":
--- a/stepsail/cli/experiments.py
+++ b/stepsail/cli/experiments.py
@@ -19,7 +19,7 @@
 from stepsail.experiment.grid import make_grid, run_grid
 from stepsail.experiment.report import HEADINGS, day_cells, html_page, summarize_by_day
 from stepsail.experiment.run import Run
-from stepsail.experiment.table import JOURNAL, read_rows
+from stepsail.experiment.table import JOURNAL_FILE, read_rows
 
 REPORT_FILE = "report.html"
 MAX_PRINTED_PROBLEMS = 20
@@ -111,7 +111,7 @@
 @click.argument("folder", type=FOLDER, default=Path("."))
 def list_command(folder: Path) -> None:
     """List the experiments in a folder and its subfolders."""
-    for journal in sorted(folder.rglob(JOURNAL)):
+    for journal in sorted(folder.rglob(JOURNAL_FILE)):
         rows = read_rows(journal.parent)
         line = f"{journal.parent}: {len(rows)} runs"
         if len(rows):
--- a/stepsail/experiment/baselines.py
+++ b/stepsail/experiment/baselines.py
@@ -1,9 +1,10 @@
-"""Routers that the present one is compared with, and never deployed: simple choices and simple votes.
+"""Baseline routers that the current router is compared with in experiments; they are never deployed.
 
-Each keeps the rules and replaces one part: how a server is picked among those that may be sent to (random choice; the
-power of two choices by attempts in flight, Mitzenmacher 2001; round robin), or how a build on canary is judged (by
-the clock alone; by a z-test on the shares that failed, looked at again and again, which an always-valid test is to
-better).
+Each one obeys the same rules as the current router and replaces one part of it. Three of them replace the
+choice among the eligible servers: random choice, the power of two choices by attempts in flight (Mitzenmacher
+2001), and round robin. Two replace the evaluation of a canary: promotion after a fixed time, and a z-test on
+the failure rates. The z-test is repeated as outcomes arrive; the current router's always-valid test should do
+better than that.
 """
 
 from __future__ import annotations
@@ -18,116 +19,116 @@
 from stepsail.decisions.selection import ServerPool
 from stepsail.decisions.server import Server
 
-CLOCK_BAKE_TIME = 2.0  # s of a settled stage after which the clock promotes
-Z_REJECTED = 1.96  # two-sided 5%
-LEAST_OUTCOMES = 30  # of each side, for the normal approximation
-LEAST_VARIANCE = 1e-9
+TIMED_BAKE_TIME = 2.0  # s in a settled stage before the timed canary is promoted
+CRITICAL_Z = 1.96  # two-sided 5%
+MIN_OUTCOMES = 30  # of each build, needed for the normal approximation
+MIN_VARIANCE = 1e-9
 
 
-class RandomPool(ServerPool):
-    """Picks any server, alike."""
+class RandomServerPool(ServerPool):
+    """Picks a server uniformly at random."""
 
     def pick(self, servers: Sequence[Server], key: int = 0) -> Server:
-        """One drawn uniformly."""
+        """Return a server drawn uniformly."""
         return servers[int(self.router.next_random() * len(servers))]
 
 
-class TwoChoicesPool(ServerPool):
-    """Picks the one with fewer attempts in flight of two drawn at random."""
+class TwoChoicesServerPool(ServerPool):
+    """Draws two servers at random and picks the one with fewer attempts in flight."""
 
     def pick(self, servers: Sequence[Server], key: int = 0) -> Server:
-        """The less busy of two drawn uniformly."""
-        one = servers[int(self.router.next_random() * len(servers))]
-        other = servers[int(self.router.next_random() * len(servers))]
-        return other if len(other.attempts) < len(one.attempts) else one
+        """Return the less loaded of two servers drawn uniformly."""
+        first = servers[int(self.router.next_random() * len(servers))]
+        second = servers[int(self.router.next_random() * len(servers))]
+        return second if len(second.attempts) < len(first.attempts) else first
 
 
-class RoundRobinPool(ServerPool):
-    """Picks one after the other."""
+class RoundRobinServerPool(ServerPool):
+    """Picks the servers in rotation."""
 
-    turn = 0
+    last_index = 0
 
     def pick(self, servers: Sequence[Server], key: int = 0) -> Server:
-        """The next in turn."""
-        self.turn += 1
-        return servers[self.turn % len(servers)]
+        """Return the next server in the rotation."""
+        self.last_index += 1
+        return servers[self.last_index % len(servers)]
 
 
-class RandomChoice(Router):
-    """Sends to any server, alike."""
+class RandomRouter(Router):
+    """Routes to a server chosen uniformly at random."""
 
-    pool_type = RandomPool
+    pool_type = RandomServerPool
 
 
-class TwoChoices(Router):
-    """Sends to the less busy of two."""
+class TwoChoicesRouter(Router):
+    """Routes to the less loaded of two random servers."""
 
-    pool_type = TwoChoicesPool
+    pool_type = TwoChoicesServerPool
 
 
-class RoundRobin(Router):
-    """Sends to one server after the other."""
+class RoundRobinRouter(Router):
+    """Routes to the servers in rotation."""
 
-    pool_type = RoundRobinPool
+    pool_type = RoundRobinServerPool
 
 
-class ClockCanary(Canary):
-    """Promotes once a stage has stood for a while, whatever was seen."""
+class TimedCanary(Canary):
+    """Promotes after a fixed time in a settled stage, whatever the outcomes are."""
 
     def evaluate(self, is_settled: bool) -> Verdict:
-        """By the clock alone."""
-        is_due = self.router.host.clock - self.started_at >= CLOCK_BAKE_TIME
+        """Vote to promote once the bake time of a settled stage has passed."""
+        is_due = self.router.host.clock - self.started_at >= TIMED_BAKE_TIME
         if is_settled and is_due and self.phase is ReleasePhase.CANARY:
             return Verdict.PROMOTE
         return Verdict.NONE
 
 
-class PlainTestCanary(Canary):
-    """Rolls back where more of the new build's outcomes fail by a z-test of two shares, else promotes."""
+class ZTestCanary(Canary):
+    """Rolls back if a two-proportion z-test finds a higher failure rate in the new build, else promotes."""
 
     def evaluate(self, is_settled: bool) -> Verdict:
-        """By the z-test."""
+        """Vote by the z-test, or not at all while either build has too few outcomes."""
         failed = count_failures(self.outcomes)
         count = count_outcomes(self.outcomes)
-        failed_before = count_failures(self.long_baseline)
-        count_before = count_outcomes(self.long_baseline)
-        if count < LEAST_OUTCOMES or count_before < LEAST_OUTCOMES:
+        baseline_failed = count_failures(self.long_baseline)
+        baseline_count = count_outcomes(self.long_baseline)
+        if count < MIN_OUTCOMES or baseline_count < MIN_OUTCOMES:
             return Verdict.NONE
-        pooled = (failed + failed_before) / (count + count_before)
-        variance = pooled * (1 - pooled) * (1 / count + 1 / count_before)
-        z = (failed / count - failed_before / count_before) / sqrt(max(LEAST_VARIANCE, variance))
-        if z > Z_REJECTED:
+        pooled_rate = (failed + baseline_failed) / (count + baseline_count)
+        variance = pooled_rate * (1 - pooled_rate) * (1 / count + 1 / baseline_count)
+        z = (failed / count - baseline_failed / baseline_count) / sqrt(max(MIN_VARIANCE, variance))
+        if z > CRITICAL_Z:
             return Verdict.ROLL_BACK
         return Verdict.PROMOTE if is_settled and self.phase is ReleasePhase.CANARY else Verdict.NONE
 
 
 def count_failures(outcomes: HistogramsByClass) -> float:
-    """How many outcomes failed: they stand in the last bin of each histogram."""
+    """Return the number of failed outcomes, which each histogram counts in its last bin."""
     return sum(histogram.bins[-1] for histogram in outcomes.values())
 
 
 def count_outcomes(outcomes: HistogramsByClass) -> float:
-    """How many outcomes there are."""
+    """Return the number of outcomes in all histograms."""
     return sum(histogram.count for histogram in outcomes.values())
 
 
-class ByClock(Router):
-    """Judges builds by the clock."""
+class TimedCanaryRouter(Router):
+    """Evaluates a canary by elapsed time alone."""
 
-    canary_type = ClockCanary
+    canary_type = TimedCanary
 
 
-class ByPlainTest(Router):
-    """Judges builds by a plain test."""
+class ZTestRouter(Router):
+    """Evaluates a canary by a repeated two-proportion z-test."""
 
-    canary_type = PlainTestCanary
+    canary_type = ZTestCanary
 
 
 MODULES: dict[str, MakeRouter] = {
     "stepsail": Router,
-    "random": RandomChoice,
-    "two-choices": TwoChoices,
-    "round-robin": RoundRobin,
-    "clock": ByClock,
-    "plain-test": ByPlainTest,
+    "random": RandomRouter,
+    "two-choices": TwoChoicesRouter,
+    "round-robin": RoundRobinRouter,
+    "clock": TimedCanaryRouter,
+    "plain-test": ZTestRouter,
 }
--- a/stepsail/experiment/compare.py
+++ b/stepsail/experiment/compare.py
@@ -1,4 +1,4 @@
-"""Two routers, or two commits, on the same days and seeds: paired differences with confidence intervals. No I/O."""
+"""Compares two routers or commits by paired differences on the same days and seeds. No I/O."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import polars
 from scipy import stats
 
-RELEVANT_DIFFERENCE = 0.01  # of service
+RELEVANT_DIFFERENCE = 0.01  # in service, a share between 0 and 1
 SIGNIFICANCE_LEVEL = 0.05
 POWER = 0.8
-MIN_PAIRS = 2  # for a standard deviation
+MIN_PAIRS = 2  # needed to compute a standard deviation
 
 
 @dataclass
@@ -19,12 +19,12 @@
     """The mean of paired differences with its confidence interval.
 
     Attributes:
-        pairs: how many pairs there are.
-        mean: the mean of the differences.
+        pairs: number of pairs.
+        mean: mean of the differences.
         low: lower end of the confidence interval.
         high: upper end of the confidence interval.
         sd: standard deviation of the differences.
-        needed: pairs that a difference of RELEVANT_DIFFERENCE takes to be significant.
+        needed: number of pairs needed to detect a difference of RELEVANT_DIFFERENCE with probability POWER.
     """
 
     pairs: int
@@ -35,7 +35,7 @@
     needed: float
 
     def cells(self) -> list[str]:
-        """The cells of a table's row: pairs, mean, interval, pairs needed."""
+        """Return the cells of a table row: pairs, mean, interval, pairs needed."""
         return [
             str(self.pairs),
             f"{self.mean:+.4f}",
@@ -45,12 +45,12 @@
 
     @property
     def is_significant(self) -> bool:
-        """Whether the interval leaves zero out."""
+        """Whether the confidence interval excludes zero."""
         return self.low > 0 or self.high < 0
 
 
 def difference(values: list[float]) -> Difference:
-    """By Student's t on the differences; `needed` by the normal approximation."""
+    """Return the mean with its interval by Student's t; `needed` is computed by the normal approximation."""
     count = len(values)
     mean = sum(values) / count if count else 0.0
     if count < MIN_PAIRS:
@@ -65,27 +65,29 @@
 def paired_differences(
     rows: polars.DataFrame, by: str, one: str, other: str, measure: str = "service"
 ) -> dict[str, Difference]:
-    """Other less one, by day, and over all days under "". Runs that failed are in no pair.
+    """Return the differences `other` - `one` for each day, and for all days together under the key "".
+
+    Runs that failed are excluded.
 
     Args:
         rows: the runs of an experiment.
-        by: the column in which the two of a pair differ, such as module or commit; they have day, seed and number
-            of instances in common.
-        one: a value of that column.
-        other: another value of it.
-        measure: the column that is compared.
+        by: the column in which the two runs of a pair differ: module or commit. Day, seed, number of
+            instances and the other one of these two columns are equal.
+        one: the value of that column whose runs are subtracted.
+        other: the value of that column whose runs are subtracted from.
+        measure: the column whose values are compared.
     """
-    played = rows.filter(polars.col("failed") == "")
+    succeeded = rows.filter(polars.col("failed") == "")
     keys = ["day", "seed", "umpires"]
     keys += [column for column in ("module", "commit") if column != by]
-    left = played.filter(polars.col(by) == one).select([*keys, polars.col(measure).alias("one")])
-    right = played.filter(polars.col(by) == other).select([*keys, polars.col(measure).alias("other")])
+    one_rows = succeeded.filter(polars.col(by) == one).select([*keys, polars.col(measure).alias("one")])
+    other_rows = succeeded.filter(polars.col(by) == other).select([*keys, polars.col(measure).alias("other")])
     pairs = (
-        left.join(right, on=keys)
+        one_rows.join(other_rows, on=keys)
         .sort(keys)
         .with_columns((polars.col("other") - polars.col("one")).alias("difference"))
     )
-    found = {"": difference(pairs["difference"].to_list())}
+    differences = {"": difference(pairs["difference"].to_list())}
     for (day,), group in sorted(pairs.group_by(["day"]), key=lambda item: str(item[0][0])):
-        found[str(day)] = difference(group["difference"].to_list())
-    return found
+        differences[str(day)] = difference(group["difference"].to_list())
+    return differences
--- a/stepsail/experiment/grid.py
+++ b/stepsail/experiment/grid.py
@@ -1,4 +1,4 @@
-"""Runs a grid over several processes; a run that has a row already is not made again."""
+"""Executes a grid of runs in several processes, skipping the runs that already have a row."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from stepsail.experiment.run import Run, execute
 from stepsail.experiment.table import Table
 
-RUNS_PER_PROCESS = 50  # then a new process: the memory of ended simulations is given back
+RUNS_PER_PROCESS = 50  # a process is then replaced, which frees the memory of finished simulations
 
 
 def make_grid(
     days: Iterable[Path], seeds: Iterable[int], modules: Iterable[str], instance_counts: Iterable[int]
 ) -> list[Run]:
-    """All runs, seeds outermost, so that a grid that is interrupted is complete for the seeds that it reached."""
+    """Return all runs, ordered by seed first, so that an interrupted grid has all runs of the first seeds."""
     days = list(days)
     modules = list(modules)
     counts = list(instance_counts) or [0]
@@ -29,15 +29,15 @@
 
 
 def run_grid(runs: list[Run], folder: Path, workers: int, progress: Callable[[int, int], None]) -> int:
-    """Make the runs that have no row yet, and return how many these were.
+    """Execute the runs that have no row yet, and return their number.
 
-    A kill at any moment loses the runs in progress; the next call makes those.
+    If the process is killed, only the runs in progress are lost; the next call executes them.
 
     Args:
         runs: all runs of the experiment.
-        folder: where its table is.
-        workers: how many processes.
-        progress: called with how many runs have a row and how many there are.
+        folder: the folder of the experiment's table.
+        workers: number of processes.
+        progress: called with the number of runs that have a row and the number of all runs.
     """
     table = Table(folder)
     missing = [run for run in runs if run.key not in table.rows]
--- a/stepsail/experiment/hunt.py
+++ b/stepsail/experiment/hunt.py
@@ -1,4 +1,8 @@
-"""Shrinks a day that broke a rule or lost service to the smallest that still does, and writes it as a file."""
+"""Shrinks a day that shows a problem, such as a rule violation, and writes days as files.
+
+A day is a scenario read from a file: servers, traffic, offered releases (`offers`) and faults (`troubles`).
+Shrinking returns the smallest day found that still shows the problem.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +14,16 @@
 from stepsail.standins.builds import Build
 from stepsail.standins.day import Day, Fault
 
-MAX_PLAYS = 60  # that shrinking one day may take
+MAX_SIMULATIONS = 60  # simulations that shrinking one day may take
 MIN_LENGTH = 3.0  # s of a shortened day
-MAX_LENGTH_SHARE = 0.9  # of a day's length; a shortening by less is not tried
-LENGTH_AFTER_LAST = 2.0  # s that a shortened day goes on after its last trouble
-MIN_HALVED_TROUBLE = 1.0  # s; shorter troubles are not halved
+MAX_LENGTH_SHARE = 0.9  # of a day's length; a smaller reduction is not tried
+LENGTH_AFTER_LAST_EVENT = 2.0  # s that a shortened day continues after its last release offer or fault
+MIN_HALVED_DURATION = 1.0  # s; the duration of shorter faults is not halved
 INSTANCE_TROUBLES = ("kill-umpire", "stop-umpire")
 
 
 def day_file_text(day: Day, site: Path) -> str:
-    """A drawn day as a file of fixed values, which reads back as the same day."""
+    """Return the text of a day file with drawn values instead of ranges; reading it gives the same day."""
     lines = [
         *_general_lines(day, site),
         *_server_lines(day),
@@ -30,13 +34,13 @@
     return "\n".join(lines) + "\n"
 
 
-def _number(value: float) -> str:
+def _format_number(value: float) -> str:
     return f"{value:.6f}".rstrip("0").rstrip(".")
 
 
 def _general_lines(day: Day, site: Path) -> Iterator[str]:
     yield f"site {json.dumps(str(site))}"
-    yield f"length {_number(day.length)}s"
+    yield f"length {_format_number(day.length)}s"
     yield f"seed {day.seed}"
     yield f"umpires {day.instance_count}"
 
@@ -47,22 +51,22 @@
     yield f"    count {day.place_count}"
     yield f"    cores {shape.cores}"
     yield f"    queue {shape.max_queue}"
-    yield f"    fall-for {_number(shape.overload_window)}s"
-    yield f"    report-every {_number(shape.report_interval)}s"
-    yield f"    boot {_number(day.boot_duration)}s"
-    yield f"    drain-for {_number(day.drain_duration)}s"
+    yield f"    fall-for {_format_number(shape.overload_window)}s"
+    yield f"    report-every {_format_number(shape.report_interval)}s"
+    yield f"    boot {_format_number(day.boot_duration)}s"
+    yield f"    drain-for {_format_number(day.drain_duration)}s"
     yield "}"
 
 
 def _traffic_lines(day: Day) -> Iterator[str]:
     for name, (share, work) in day.demand.items():
-        yield f"demand {name} share {_number(share)} work {_number(work)}s"
-    yield f"traffic {_number(day.request_rate)}"
-    yield f"roster-late {_number(day.discovery_delay)}s"
-    yield f"news-late {_number(day.release_control_delay)}s"
-    yield f"cross-delay {_number(day.cross_zone_delay)}s"
-    yield f"notice {_number(day.notice)}s"
-    yield f"uneven {_number(day.balancer_skew)}"
+        yield f"demand {name} share {_format_number(share)} work {_format_number(work)}s"
+    yield f"traffic {_format_number(day.request_rate)}"
+    yield f"roster-late {_format_number(day.discovery_delay)}s"
+    yield f"news-late {_format_number(day.release_control_delay)}s"
+    yield f"cross-delay {_format_number(day.cross_zone_delay)}s"
+    yield f"notice {_format_number(day.notice)}s"
+    yield f"uneven {_format_number(day.balancer_skew)}"
     yield f"retries {day.client_behavior.retries}"
 
 
@@ -70,21 +74,24 @@
     for at, build in day.releases:
         request_class = f" product {build.failing_class}" if build.failing_class else ""
         yield (
-            f"offer at {_number(at)}s {build.kind} size {_number(build.severity)}{request_class} "
-            f"speed {_number(build.speed)}"
+            f"offer at {_format_number(at)}s {build.kind} size {_format_number(build.severity)}{request_class} "
+            f"speed {_format_number(build.speed)}"
         )
 
 
 def _trouble_lines(day: Day) -> Iterator[str]:
     for trouble in day.faults:
         yield (
-            f"trouble {trouble.kind} at {_number(trouble.at)}s for {_number(trouble.length)}s "
-            f"of {trouble.target} size {_number(trouble.size)} part {_number(trouble.share)}"
+            f"trouble {trouble.kind} at {_format_number(trouble.at)}s for {_format_number(trouble.length)}s "
+            f"of {trouble.target} size {_format_number(trouble.size)} part {_format_number(trouble.share)}"
         )
 
 
 def simpler_days(day: Day) -> list[Day]:
-    """Days that are simpler than this one, the greatest cuts first (delta debugging, Zeller and Hildebrandt 2002)."""
+    """Return simpler variants of a day, the largest reductions first.
+
+    This is delta debugging (Zeller and Hildebrandt 2002).
+    """
     return [
         *(replace(day, faults=troubles) for troubles in _fewer_troubles(day.faults)),
         *(replace(day, releases=offers) for offers in _fewer_releases(day.releases)),
@@ -110,8 +117,8 @@
 
 def _shorter_lengths(day: Day) -> Iterator[float]:
     ends = [at for at, _ in day.releases] + [trouble.at + trouble.length for trouble in day.faults]
-    last = max(ends, default=0.0)
-    for length in (day.length / 2, last + LENGTH_AFTER_LAST):
+    last_end = max(ends, default=0.0)
+    for length in (day.length / 2, last_end + LENGTH_AFTER_LAST_EVENT):
         if MIN_LENGTH <= length < MAX_LENGTH_SHARE * day.length:
             yield round(length, 3)
 
@@ -123,28 +130,28 @@
 
 def _shorter_troubles(troubles: list[Fault]) -> Iterator[list[Fault]]:
     for index, trouble in enumerate(troubles):
-        if trouble.length > MIN_HALVED_TROUBLE:
+        if trouble.length > MIN_HALVED_DURATION:
             halved = replace(trouble, length=round(trouble.length / 2, 3))
             yield [*troubles[:index], halved, *troubles[index + 1 :]]
 
 
-def shrink(day: Day, reproduces: Callable[[Day], bool], max_plays: int = MAX_PLAYS) -> Day:
-    """The smallest day found that still reproduces what the given one showed.
+def shrink(day: Day, reproduces: Callable[[Day], bool], max_simulations: int = MAX_SIMULATIONS) -> Day:
+    """Return the smallest day found that still reproduces the problem of the given one.
 
     Args:
         day: the day to shrink.
-        reproduces: plays a day, and tells whether it shows the same.
-        max_plays: how often that may be called.
+        reproduces: simulates a day and returns whether the same problem occurs.
+        max_simulations: how often `reproduces` may be called.
     """
-    plays_left = max_plays
-    while plays_left > 0:
+    simulations_left = max_simulations
+    while simulations_left > 0:
         smaller = None
         for candidate in simpler_days(day):
-            plays_left -= 1
+            simulations_left -= 1
             if reproduces(candidate):
                 smaller = candidate
                 break
-            if plays_left <= 0:
+            if simulations_left <= 0:
                 break
         if smaller is None:
             return day
--- a/stepsail/experiment/load.py
+++ b/stepsail/experiment/load.py
@@ -1,8 +1,8 @@
-"""Load on a running instance: an open loop, step by step, until the instance no longer keeps up.
+"""Open-loop load generator, which loads a running instance at increasing rates until it no longer keeps up.
 
-Requests begin when they are due, whatever the answers do, and times count from when each was due, also where it had
-to wait for a connection of the generator's own. So a pause of the instance shows in all requests that were due in it,
-and not in one alone (coordinated omission).
+Requests are started on schedule, independently of the responses. Their latency is measured from the scheduled
+start, even if a request first waits for a free connection of the generator. A pause of the instance therefore
+shows in the latency of every request scheduled during the pause, not just of one (no coordinated omission).
 """
 
 from __future__ import annotations
@@ -19,30 +19,31 @@
 from stepsail.loop.driver import Address
 from stepsail.standins.arrivals import Rate, arrivals
 
-MICROSECONDS = 1e6  # in a second
-MIN_TIME = 1  # µs in the histogram
-MAX_TIME = 120_000_000  # µs in the histogram
+MICROSECONDS = 1e6  # per second
+MIN_TIME = 1  # µs, the lowest latency that the histogram resolves
+MAX_TIME = 120_000_000  # µs, the highest latency that the histogram can record
 HISTOGRAM_DIGITS = 3
-MAX_IN_FLIGHT = 20_000  # requests; one beyond is counted as not begun
+MAX_IN_FLIGHT = 20_000  # requests; beyond this, a request is counted as not begun
 CONNECT_TIMEOUT = 2.0  # s
-MIN_REQUEST_TIMEOUT = 0.001  # s that a request's header tells
-MIN_IN_TIME_SHARE = 0.99  # served in time, for a step that the instance keeps up with
-POLL_INTERVAL = 0.01  # s between looks whether all requests have ended
-OK_BELOW = 400  # statuses that count as served
+MIN_REQUEST_TIMEOUT = 0.001  # s sent in the request-timeout header
+# Share of the requests due that must be served in time for the instance to keep up with a rate.
+MIN_IN_TIME_SHARE = 0.99
+POLL_INTERVAL = 0.01  # s between checks whether all requests have ended
+OK_BELOW = 400  # lower statuses count as served
 REJECTED_STATUS = 503
 
 
 @dataclass
 class RequestSpec:
-    """The request that is sent again and again.
+    """The request that is sent repeatedly.
 
     Attributes:
-        address: of the instance.
+        address: address of the instance.
         method: HTTP method.
         path: HTTP path.
         body: HTTP body.
-        client_timeout: seconds that a client waits.
-        latency_objective: seconds within which an answer is in time.
+        client_timeout: seconds after which the client gives up.
+        latency_objective: seconds within which an answer counts as in time.
     """
 
     address: Address
@@ -55,19 +56,19 @@
 
 @dataclass
 class Step:
-    """The outcome of one rate.
+    """The results of loading the instance at one rate.
 
     Attributes:
-        rate: requests a second.
-        seconds: how long.
-        due: requests that were due.
-        served: answered with a status below 400.
-        in_time: of these, within the latency objective.
-        rejected: answered with 503.
-        failed: answered with another status.
-        lost: without an answer.
-        not_begun: beyond MAX_IN_FLIGHT.
-        times: in µs, from when each request was due to its answer.
+        rate: requests per second.
+        seconds: duration of the step.
+        due: requests that were scheduled.
+        served: requests answered with a status below 400.
+        in_time: served requests that were answered within the latency objective.
+        rejected: requests answered with 503.
+        failed: requests answered with any other status.
+        lost: requests that were not answered.
+        not_begun: requests that were not sent because MAX_IN_FLIGHT were in flight.
+        times: latencies in µs, from the time that a request was due to its answer.
     """
 
     rate: float
@@ -83,11 +84,11 @@
 
     @property
     def keeps_up(self) -> bool:
-        """Whether nearly all requests were served in time."""
+        """Whether at least MIN_IN_TIME_SHARE of the requests were served in time."""
         return self.due > 0 and self.in_time >= MIN_IN_TIME_SHARE * self.due
 
     def row(self) -> dict[str, float]:
-        """The figures by the columns of stored tables; times in seconds."""
+        """Return the results by the column names of stored tables; times in seconds."""
         longest = self.times.get_max_value() / MICROSECONDS if self.times.get_total_count() else 0.0
         return {
             "rate": self.rate,
@@ -110,7 +111,7 @@
 
 
 class LoadGenerator:
-    """Sends requests from one loop, with at most `connections` open connections and MAX_IN_FLIGHT requests."""
+    """Sends requests over at most `connections` connections, with at most MAX_IN_FLIGHT in flight."""
 
     def __init__(self, loop: Loop, spec: RequestSpec, connections: int, random: Random) -> None:
         self.loop = loop
@@ -122,13 +123,13 @@
         self._last_number = 0
 
     def step(self, rate: Rate, peak: float, seconds: float, nominal: float | None = None) -> Step:
-        """Send requests for so long, and wait until all have ended.
+        """Send requests at a rate for some time, and wait until all have ended.
 
         Args:
-            rate: requests a second over time.
-            peak: a rate that is never exceeded.
-            seconds: how long.
-            nominal: the rate by which the step is named; the peak where it is left out.
+            rate: requests per second as a function of time.
+            peak: an upper bound of `rate`.
+            seconds: how long requests are sent.
+            nominal: the rate that the result states; `peak` by default.
         """
         step = Step(peak if nominal is None else nominal, seconds)
         start = self.loop.now()
@@ -174,7 +175,7 @@
             step.failed += 1
 
     def _exchange(self, number: int, deadline: float) -> int:
-        """Send one request over an idle or a new connection; the status of its answer."""
+        """Send one request over an idle or a new connection, and return the status of its answer."""
         spec = self.spec
         connection = self._connect(deadline)
         timeout = max(MIN_REQUEST_TIMEOUT, deadline - self.loop.now())
@@ -205,7 +206,7 @@
 
 
 def knee(steps: list[Step]) -> float:
-    """The highest rate that was kept up with before the first that was not; 0 if none was."""
+    """Return the highest rate before the first that the instance did not keep up with; 0 if there is none."""
     highest = 0.0
     for step in steps:
         if not step.keeps_up:
@@ -215,7 +216,7 @@
 
 
 def make_row(step: Step, name: str, profile: str, seed: int, commit: str) -> Row:
-    """A step as a row of an experiment; columns of simulated runs that a load lacks have neutral values."""
+    """Return a step as a row of an experiment; columns for simulated runs only have neutral values."""
     return {
         "key": f"load {name} {step.rate:g} {step.seconds:g} {commit}",
         "day": f"load {profile}",
--- a/stepsail/experiment/report.py
+++ b/stepsail/experiment/report.py
@@ -1,4 +1,4 @@
-"""An experiment as one HTML page that opens without network: tables, charts drawn into it, provenance."""
+"""Renders an experiment as a self-contained HTML page with tables, an embedded chart and its provenance."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "body{font:15px sans-serif;max-width:70em;margin:2em auto}table{border-collapse:collapse}"
     "td,th{border:1px solid #ccc;padding:2px 8px;text-align:right}td:first-child{text-align:left}"
 )
-OWN_MODULE = "stepsail"
+CURRENT_MODULE = "stepsail"
 CHART_DPI = 90
 CHART_WIDTH = 9  # inches
 CHART_HEIGHT_PER_DAY = 0.28  # inches
@@ -28,29 +28,29 @@
 HEADINGS = [
     "day",
     "module",
-    "umpires",
+    "instances",
     "runs",
     "service",
     "ideal",
-    "worst",
-    "breaches",
-    "right",
-    "cold peak",
-    "99% s",
+    "worst service",
+    "violations",
+    "correct releases",
+    "peak load in slow start",
+    "p99, s",
 ]
-DIFFERENCE_HEADINGS = ["day", "pairs", "mean", "95% interval", "pairs needed to tell 0.01"]
+DIFFERENCE_HEADINGS = ["day", "pairs", "mean", "95% interval", "pairs needed for 0.01"]
 
 
 def _image_html(figure: Figure) -> str:
-    """A figure as an image inside the page."""
-    out = io.BytesIO()
-    figure.savefig(out, format="png", dpi=CHART_DPI, bbox_inches="tight")
-    return f'<img alt="" src="data:image/png;base64,{base64.b64encode(out.getvalue()).decode()}">'
+    """Return an HTML image element with the figure embedded as a data URL."""
+    buffer = io.BytesIO()
+    figure.savefig(buffer, format="png", dpi=CHART_DPI, bbox_inches="tight")
+    return f'<img alt="" src="data:image/png;base64,{base64.b64encode(buffer.getvalue()).decode()}">'
 
 
 def _table_html(headings: list[str], rows: list[list[str]]) -> str:
-    lines = [_row_html(headings, "th"), *(_row_html(row, "td") for row in rows)]
-    return "<table>" + "".join(lines) + "</table>"
+    row_elements = [_row_html(headings, "th"), *(_row_html(row, "td") for row in rows)]
+    return "<table>" + "".join(row_elements) + "</table>"
 
 
 def _row_html(cells: list[str], tag: str) -> str:
@@ -58,7 +58,7 @@
 
 
 def summarize_by_day(rows: polars.DataFrame) -> polars.DataFrame:
-    """Each day and module: runs, mean and worst service, breaches, releases that ended right; worst days first."""
+    """Aggregate the successful runs by day, router and number of instances, lowest mean service first."""
     return (
         rows.filter(polars.col("failed") == "")
         .group_by("day", "module", "umpires")
@@ -79,7 +79,7 @@
 
 
 def day_cells(days: polars.DataFrame) -> list[list[str]]:
-    """The lines of `summarize_by_day` as tables show them, under HEADINGS."""
+    """Return the table rows for the result of `summarize_by_day`, with columns as in HEADINGS."""
     return [
         [
             row["day"],
@@ -99,11 +99,11 @@
 
 
 def html_page(rows: polars.DataFrame, title: str) -> str:
-    """The page's HTML.
+    """Return the HTML of the page.
 
     Args:
         rows: all runs of an experiment.
-        title: its name.
+        title: the title of the page.
     """
     days = summarize_by_day(rows)
     modules = sorted(set(days["module"].to_list()))
@@ -115,9 +115,9 @@
         _table_html(HEADINGS, day_cells(days)),
         _image_html(_service_chart(days, modules)),
     ]
-    if OWN_MODULE in modules:
+    if CURRENT_MODULE in modules:
         for module in modules:
-            if module != OWN_MODULE:
+            if module != CURRENT_MODULE:
                 parts += _comparison_html(rows, module)
     return "\n".join(parts) + "\n"
 
@@ -125,25 +125,32 @@
 def _provenance_html(rows: polars.DataFrame) -> str:
     failed = rows.filter(polars.col("failed") != "")
     return (
-        f"<p>{len(rows)} runs, {len(failed)} could not be played, {int(rows['breaches'].fill_null(0).sum())} "
-        f"breaches of rules; commits {', '.join(sorted(set(rows['commit'].to_list())))}.</p>"
+        f"<p>{len(rows)} runs, {len(failed)} could not be simulated, "
+        f"{int(rows['breaches'].fill_null(0).sum())} rule violations; "
+        f"commits {', '.join(sorted(set(rows['commit'].to_list())))}.</p>"
     )
 
 
 def _service_chart(days: polars.DataFrame, modules: list[str]) -> Figure:
-    """The mean service of each day, a line of points for each module."""
-    from matplotlib.figure import Figure  # takes a moment to load; the other commands do without
+    """Plot the mean service of each day, with one series of points per router."""
+    # Imported here because loading it is slow and other commands don't need it.
+    from matplotlib.figure import Figure
 
     figure = Figure(
         figsize=(CHART_WIDTH, CHART_HEIGHT_PER_DAY * max(CHART_MIN_DAYS, days["day"].n_unique()) + 1)
     )
     axes = figure.subplots()
-    names = list(dict.fromkeys(days["day"].to_list()))
+    day_names = list(dict.fromkeys(days["day"].to_list()))
     for module in modules:
-        lines = days.filter(polars.col("module") == module).iter_rows(named=True)
-        service = {line["day"]: line["service"] for line in lines}
-        axes.plot([service.get(name, nan) for name in names], list(range(len(names))), "o", label=module)
-    axes.set_yticks(range(len(names)), names)
+        module_rows = days.filter(polars.col("module") == module).iter_rows(named=True)
+        service_by_day = {row["day"]: row["service"] for row in module_rows}
+        axes.plot(
+            [service_by_day.get(day_name, nan) for day_name in day_names],
+            list(range(len(day_names))),
+            "o",
+            label=module,
+        )
+    axes.set_yticks(range(len(day_names)), day_names)
     axes.set_xlabel("mean service")
     axes.legend()
     axes.grid(alpha=0.3)
@@ -151,11 +158,12 @@
 
 
 def _comparison_html(rows: polars.DataFrame, module: str) -> list[str]:
-    """The present router less another one, by day."""
-    differences = paired_differences(rows, "module", module, OWN_MODULE)
+    """Return the differences by day between the current router and another one."""
+    differences = paired_differences(rows, "module", module, CURRENT_MODULE)
     return [
-        f"<h2>{OWN_MODULE} less {html.escape(module)}</h2>",
+        f"<h2>{CURRENT_MODULE} minus {html.escape(module)}</h2>",
         _table_html(
-            DIFFERENCE_HEADINGS, [[day or "all", *found.cells()] for day, found in differences.items()]
+            DIFFERENCE_HEADINGS,
+            [[day or "all", *difference.cells()] for day, difference in differences.items()],
         ),
     ]
--- a/stepsail/experiment/run.py
+++ b/stepsail/experiment/run.py
@@ -1,4 +1,4 @@
-"""One run of a grid: a day, a seed and a module become one row."""
+"""Executes one run of a grid: simulates a day with a seed and a router, and returns the results as a row."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from stepsail.verify import read_history, verify
 from stepsail.verify.report import summary
 
-MAX_BREACHES = 5  # described in a row
-MAX_BREACH_LENGTH = 200  # characters
+MAX_DESCRIBED_VIOLATIONS = 5  # per row
+MAX_VIOLATION_LENGTH = 200  # characters
 MAX_ERROR_LENGTH = 500  # characters
 HASH_LENGTH = 12  # hexadecimal digits
 GIT_TIMEOUT = 10  # s
@@ -31,31 +31,31 @@
 
 @dataclass(frozen=True)
 class Run:
-    """A day, a seed and a router.
+    """One simulation: a day with a seed and a router.
 
     Attributes:
-        day: path of the day's file.
-        seed: what the day draws from.
+        day: path of the day file, which describes the scenario.
+        seed: seed of all random values of the day.
         module: name of the router, a key of MODULES.
-        umpires: number of instances; 0 for the day's own.
+        instance_count: number of instances; 0 for the number in the day file.
     """
 
     day: str
     seed: int
     module: str = "stepsail"
-    umpires: int = 0
+    instance_count: int = 0
 
     @property
     def key(self) -> str:
-        """Names the run in tables."""
-        return f"{self.day} {self.seed} {self.module} {self.umpires}"
+        """Identifies the run in tables."""
+        return f"{self.day} {self.seed} {self.module} {self.instance_count}"
 
 
 @cache
 def current_commit() -> str:
-    """The commit that runs, marked where files were changed since; empty outside a repository."""
+    """Return the current commit, marked if files have changed since; empty outside a repository."""
     try:
-        done = subprocess.run(
+        process = subprocess.run(
             ["git", "describe", "--always", "--dirty", f"--abbrev={HASH_LENGTH}"],
             capture_output=True,
             text=True,
@@ -64,18 +64,18 @@
         )
     except (OSError, subprocess.TimeoutExpired):
         return ""
-    return done.stdout.strip()
+    return process.stdout.strip()
 
 
 def settings_hash(day: Day, file: Path) -> str:
-    """A hash over a day's files: its own, those that it includes, and the site's."""
+    """Return a hash over the texts of a day file, the files that it includes, and its site file."""
     texts: list[str] = []
-    waiting = [file, day.common_settings]
-    while waiting:
-        path = waiting.pop()
+    pending = [file, day.common_settings]
+    while pending:
+        path = pending.pop()
         text = path.read_text("utf-8")
         texts.append(text)
-        waiting += [
+        pending += [
             path.parent / line.split(None, 1)[1].strip('"')
             for line in text.splitlines()
             if line.startswith(INCLUDE)
@@ -84,7 +84,7 @@
 
 
 def execute(run: Run) -> Row:
-    """Play and judge a run; where it cannot be played, its row says why."""
+    """Simulate a run and check its transcript; if that fails, the row contains the error."""
     out = Path(tempfile.mkdtemp(prefix="stepsail-run-"))
     row: Row = {
         "key": run.key,
@@ -97,13 +97,13 @@
     }
     try:
         day = read_day(Path(run.day), run.seed)
-        if run.umpires:
-            day.instance_count = run.umpires
+        if run.instance_count:
+            day.instance_count = run.instance_count
         row |= _day_columns(day, Path(run.day))
         _reset_peak_memory()
         played = play(day, out, MODULES[run.module])
-        row |= _finding_columns(out) | _cost_columns(played)
-    except Exception as error:  # of whatever kind: the grid goes on and the row has the error
+        row |= _result_columns(out) | _cost_columns(played)
+    except Exception as error:  # of any kind: the row records the error and the grid continues
         row["failed"] = f"{type(error).__name__}: {error}"[:MAX_ERROR_LENGTH]
     finally:
         shutil.rmtree(out, ignore_errors=True)
@@ -135,31 +135,34 @@
 
 
 def _reset_peak_memory() -> None:
-    """Begin the measure of memory anew: one process makes many runs (proc(5), clear_refs)."""
+    """Reset the peak memory of this process, which executes many runs (proc(5), clear_refs)."""
     with contextlib.suppress(OSError):
         Path("/proc/self/clear_refs").write_text("5")
 
 
 def _peak_memory() -> float:
-    """The largest resident memory since then, in MiB."""
+    """Return the peak resident memory since the last reset, in MiB."""
     status = Path("/proc/self/status").read_text()
     return int(status.split("VmHWM:")[1].split()[0]) / KIB_PER_MIB
 
 
-def _finding_columns(out: Path) -> Row:
-    """What the checkers and the bound say of a transcript."""
+def _result_columns(out: Path) -> Row:
+    """Return the columns that come from checking a transcript, and its upper bound on service."""
     history = read_history(out / "transcript.jsonl")
-    breaches = verify(history)
-    report = summary(history, breaches)
+    violations = verify(history)
+    report = summary(history, violations)
     answers = report["answers"]
     releases = report["releases"]
     classes = report["products"].values()
-    shown = [str(breach).splitlines()[0][:MAX_BREACH_LENGTH] for breach in breaches[:MAX_BREACHES]]
+    descriptions = [
+        str(violation).splitlines()[0][:MAX_VIOLATION_LENGTH]
+        for violation in violations[:MAX_DESCRIBED_VIOLATIONS]
+    ]
     return {
         "service": float(report["service"]),
         "ideal": service_bound(history),
-        "breaches": len(breaches),
-        "breach": "; ".join(shown),
+        "breaches": len(violations),
+        "breach": "; ".join(descriptions),
         "asked": sum(figures["asked"] for figures in classes),
         "median": max(figures["median"] for figures in classes),
         "p99": max(figures["p99"] for figures in classes),
--- a/tests/experiment/test_load.py
+++ b/tests/experiment/test_load.py
@@ -1,4 +1,4 @@
-"""Arrivals, and a load that does not wait for answers: a pause shows in all that fell into it."""
+"""Tests of arrival rates and of the open-loop load generator, which does not wait for answers."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from stepsail.simulation.simulator import SimulatedProcess, Simulator
 from stepsail.standins.arrivals import arrivals, burst, curve, shift, steady
 
-AT = ("127.0.0.1", 900)
+SERVER_ADDRESS = ("127.0.0.1", 900)
 
 
 @pytest.mark.parametrize(
-    ("rate", "most", "shares"),
+    ("rate", "peak", "shares"),
     [
         (steady(100.0), 100.0, (1 / 3, 1 / 3, 1 / 3)),
         (burst(100.0, 20.0, 20.0, 3.0), 300.0, (0.2, 0.6, 0.2)),
@@ -30,21 +30,21 @@
         (curve(100.0, 60.0, 3.0), 300.0, (0.264, 0.471, 0.264)),
     ],
 )
-def test_arrivals_follow_their_rate(rate: Any, most: float, shares: tuple[float, ...]) -> None:
-    found = list(arrivals(Random("a"), rate, most, 60.0))
-    assert found == sorted(found) and found == list(arrivals(Random("a"), rate, most, 60.0))
+def test_arrivals_follow_the_rate_function(rate: Any, peak: float, shares: tuple[float, ...]) -> None:
+    times = list(arrivals(Random("a"), rate, peak, 60.0))
+    assert times == sorted(times) and times == list(arrivals(Random("a"), rate, peak, 60.0))
     for third, share in enumerate(shares):
-        part = sum(third * 20 <= at < third * 20 + 20 for at in found) / len(found)
-        assert part == pytest.approx(share, abs=0.02)
+        measured_share = sum(third * 20 <= at < third * 20 + 20 for at in times) / len(times)
+        assert measured_share == pytest.approx(share, abs=0.02)
 
 
-def test_a_rate_over_the_stated_peak_is_an_error() -> None:
+def test_a_rate_above_the_given_peak_is_an_error() -> None:
     with pytest.raises(ValueError, match="over the 100"):
         list(arrivals(Random(1), shift(100.0, 1.0, 2.0), 100.0, 60.0))
 
 
-def loaded(rate: float, seconds: float, wait: Any, connections: int = 50) -> Step:
-    """A step against a server that answers after `wait(now)` seconds, in virtual time."""
+def run_load(rate: float, seconds: float, wait: Any, connections: int = 50) -> Step:
+    """Load a simulated server that answers after `wait(now)` seconds of virtual time; return the step."""
     simulator = Simulator(1)
     network = Network(simulator, 1)
 
@@ -55,44 +55,44 @@
                 loop.sleep(wait(loop.now() - 1000.0))
                 stream.write(encode_response(200, []))
 
-        Listener(loop, AT, 1000).serve(serve, "server")
+        Listener(loop, SERVER_ADDRESS, 1000).serve(serve, "server")
 
     def client(loop: Loop) -> Step:
-        return LoadGenerator(loop, RequestSpec(AT, client_timeout=5.0), connections, Random(3)).step(
-            steady(rate), rate, seconds
-        )
+        return LoadGenerator(
+            loop, RequestSpec(SERVER_ADDRESS, client_timeout=5.0), connections, Random(3)
+        ).step(steady(rate), rate, seconds)
 
-    def machine(name: str, main: Any) -> SimulatedProcess:
+    def make_process(name: str, main: Any) -> SimulatedProcess:
         return SimulatedProcess(
             simulator, SimulatedDriver(simulator, network, name), name, lambda loop: loop.run(main, loop)
         )
 
-    machine("server", server).start()
-    found = simulator.run(machine("client", client))
-    assert isinstance(found, Step)
-    return found
+    make_process("server", server).start()
+    step = simulator.run(make_process("client", client))
+    assert isinstance(step, Step)
+    return step
 
 
-def test_a_pause_shows_in_all_requests_that_were_due_in_it() -> None:
-    """A closed loop of as many connections would have one slow time each: 50 of 2,000."""
-    step = loaded(200.0, 10.0, lambda now: max(0.005, 5.0 - now) if 4.0 <= now < 5.0 else 0.005)
+def test_a_server_pause_delays_all_requests_due_during_it() -> None:
+    """A closed loop over as many connections would record one slow request for each of them: 50 of 2,000."""
+    step = run_load(200.0, 10.0, lambda now: max(0.005, 5.0 - now) if 4.0 <= now < 5.0 else 0.005)
     row = step.row()
     assert step.due == step.served and step.due == pytest.approx(2000, rel=0.1)
     slow = sum(
         1
-        for v in step.times.get_recorded_iterator()
-        for _ in range(v.count_at_value_iterated_to)
-        if v.value_iterated_to > 100_000
+        for bucket in step.times.get_recorded_iterator()
+        for _ in range(bucket.count_at_value_iterated_to)
+        if bucket.value_iterated_to > 100_000
     )
     assert slow == pytest.approx(0.9 * 200, rel=0.2) and row["p99"] > 0.7 and row["median"] < 0.01
 
 
-def test_times_count_from_when_a_request_was_due_and_not_from_when_a_connection_was_free() -> None:
-    step = loaded(20.0, 5.0, lambda now: 0.1, connections=1)  # twice what one connection can carry
+def test_latency_includes_the_wait_for_a_free_connection() -> None:
+    step = run_load(20.0, 5.0, lambda now: 0.1, connections=1)  # twice the rate that one connection can serve
     assert step.row()["longest"] > 2.0 and not step.keeps_up
 
 
-def test_the_knee_is_the_last_rate_before_one_that_was_too_high() -> None:
+def test_the_knee_is_the_last_rate_before_the_first_that_was_too_high() -> None:
     def step(rate: float, share: float) -> Step:
         return Step(rate, 1.0, due=100, in_time=round(share * 100))
 
@@ -100,7 +100,7 @@
     assert knee([step(10, 0.5)]) == 0 and knee([]) == 0
 
 
-def test_only_a_loopback_address_is_loaded(tmp_path: Path) -> None:
+def test_load_refuses_addresses_other_than_loopback(tmp_path: Path) -> None:
     from click.testing import CliRunner
 
     from stepsail.cli.main import main
@@ -109,8 +109,8 @@
     assert done.exit_code == 2 and "only a loopback address" in done.output
 
 
-def test_steps_of_a_load_are_shown_in_the_tables_of_experiments() -> None:
-    """The tables read columns that the steps of a load lacked before."""
-    rows = polars.from_dicts([make_row(loaded(20.0, 1.0, lambda now: 0.01), "x", "steady", 1, "c")])
+def test_experiment_tables_show_the_steps_of_a_load() -> None:
+    """Rows of a load test must have all columns that the tables of experiments read."""
+    rows = polars.from_dicts([make_row(run_load(20.0, 1.0, lambda now: 0.01), "x", "steady", 1, "c")])
     (cells,) = day_cells(summarize_by_day(rows))
     assert cells[0] == "load steady" and cells[4] == "1.000" and "load steady" in html_page(rows, "x")
