--- a/tests/broken_umpire.py
+++ b/tests/broken_umpire.py
@@ -1,4 +1,4 @@
-"""An umpire that breaks a rule on purpose, for the tests that show that the checker finds it."""
+"""Runs an instance that breaks a rule on purpose, for the tests that check that the checker detects it."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from stepsail.proxy import response_writer
 
 
-def exposes_all(self: Any, request: Any, build: int) -> bool:
+def allow_any_exposure(self: Any, request: Any, build: int) -> bool:
     return True
 
 
-def repeats_all(self: Any, server: Any) -> bool:
+def allow_any_server(self: Any, server: Any) -> bool:
     return True
 
 
 if __name__ == "__main__":
     fault = sys.argv.pop(1)
     if fault == "exposure":
-        Exposure.may_expose = exposes_all  # type: ignore[method-assign]
+        Exposure.may_expose = allow_any_exposure  # type: ignore[method-assign]
     elif fault == "repeats":
-        Request.may_be_sent_to = repeats_all  # type: ignore[method-assign]
+        Request.may_be_sent_to = allow_any_server  # type: ignore[method-assign]
     elif fault == "answers":
-        whole = response_writer.ResponseWriter._encode
-        response_writer.ResponseWriter._encode = lambda *a: whole(*a) * 2  # type: ignore[method-assign]
+        encode = response_writer.ResponseWriter._encode
+        response_writer.ResponseWriter._encode = lambda *a: encode(*a) * 2  # type: ignore[method-assign]
     else:
         raise SystemExit(f"unknown fault {fault}")
     main()
--- a/tests/capture/test_day.py
+++ b/tests/capture/test_day.py
@@ -34,7 +34,7 @@
 
 def _send_request(rig: Rig, method_and_path: tuple[str, str]) -> None:
     try:
-        rig.request(*method_and_path, left=0.5, within=1.0)
+        rig.request(*method_and_path, time_left=0.5, timeout=1.0)
     except Exception:  # a client of a faulty instance may get no response; only the capture is tested here
         return
 
--- a/tests/capture/test_format.py
+++ b/tests/capture/test_format.py
@@ -16,7 +16,7 @@
 from helpers import router_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from recorded import RecordedDesk, play_history, recorded
+from recorded import RecordedHost, play_history, record_history
 
 from stepsail import decisions
 from stepsail.capture import CaptureWriter, DamagedFileError, read_segment, replay
@@ -46,7 +46,7 @@
 
 
 def segment_bytes(folder: Path) -> tuple[Path, bytes]:
-    recorded(folder)
+    record_history(folder)
     file = next(folder.glob("*.cap"))
     return file, file.read_bytes()
 
@@ -129,7 +129,7 @@
 def test_run_whose_first_segments_were_removed_replays_from_a_snapshot(
     tmp_path: Path,
 ) -> None:
-    recorded(tmp_path, rounds=400, segment_bytes=1000, max_bytes=30000)
+    record_history(tmp_path, rounds=400, segment_bytes=1000, max_bytes=30000)
     captures = read_runs(tmp_path)
     runs, damaged = captures.runs, captures.damaged
     assert damaged == [] and len(runs) == 1
@@ -141,7 +141,7 @@
 
 
 def test_replayed_state_equals_the_next_snapshot(tmp_path: Path) -> None:
-    recorded(tmp_path, rounds=400, segment_bytes=1000)
+    record_history(tmp_path, rounds=400, segment_bytes=1000)
     (segments,) = read_runs(tmp_path).runs[0].contiguous_segments()
     assert len(segments) > 3
     for segment, later in pairwise(segments):
@@ -154,7 +154,7 @@
 ) -> None:
     events: list[str] = []
     writer = CaptureWriter(tmp_path, 0, "m", lambda event, **fields: events.append(event))
-    desk = RecordedDesk(writer)
+    desk = RecordedHost(writer)
     play_history(desk)
     deadline = time.monotonic() + 5
     while writer.bytes_written < 1000 and time.monotonic() < deadline:
@@ -200,7 +200,7 @@
 
     monkeypatch.setattr("stepsail.capture.segment_writer.os.write", write_slowly)
     writer = CaptureWriter(tmp_path, 0, "m", lambda event, **fields: events.append(event))
-    desk = RecordedDesk(writer)
+    desk = RecordedHost(writer)
     start = time.monotonic()
     play_history(desk, 200)
     assert time.monotonic() - start < 2.0 and "capture_dropping" in events
@@ -211,7 +211,7 @@
 
 
 def test_replay_does_not_cross_a_missing_segment(tmp_path: Path) -> None:
-    recorded(tmp_path, rounds=400, segment_bytes=4000)
+    record_history(tmp_path, rounds=400, segment_bytes=4000)
     files = sorted(tmp_path.glob("*.cap"))
     middle = read_segment(files[1])
     files[1].unlink()
@@ -227,7 +227,7 @@
 
 
 def test_entries_cut_out_of_a_run_replay_by_themselves(tmp_path: Path) -> None:
-    recorded(tmp_path, rounds=100)
+    record_history(tmp_path, rounds=100)
     (segments,) = read_runs(tmp_path).runs[0].contiguous_segments()
     piece = tmp_path / "piece.cap"
     count = cut(segments, decisions, 102.0, 103.0, piece)
@@ -245,7 +245,7 @@
 
 
 def test_changed_module_differs_in_a_replay(tmp_path: Path) -> None:
-    recorded(tmp_path, rounds=100)
+    record_history(tmp_path, rounds=100)
     (segments,) = read_runs(tmp_path).runs[0].contiguous_segments()
     other = load_build(
         mutated_package(tmp_path / "other", "timing.py", "TICK_INTERVAL = 0.2 ", "TICK_INTERVAL = 0.21 ")
@@ -259,7 +259,7 @@
 
 def test_error_of_the_router_is_captured_and_replayed(tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path, 0, "m", lambda event, **fields: None)
-    desk = RecordedDesk(writer)
+    desk = RecordedHost(writer)
     request = desk.accept()
     with pytest.raises(IndexError):
         request.attempt_ended(9, AttemptOutcome.SERVED, True, 0.1, ())
@@ -273,7 +273,7 @@
 
 def test_two_instances_in_one_process_write_two_runs(tmp_path: Path) -> None:
     writers = [CaptureWriter(tmp_path, n, "m", lambda event, **fields: None) for n in (0, 1)]
-    desks = [RecordedDesk(w, seed=n) for n, w in enumerate(writers)]
+    desks = [RecordedHost(w, seed=n) for n, w in enumerate(writers)]
     for desk in desks:
         play_history(desk)
     for writer in writers:
@@ -318,7 +318,7 @@
 ) -> None:
     folder = tmp_path_factory.mktemp("capture")
     writer = CaptureWriter(folder, 0, "m", lambda event, **fields: None, segment_bytes=500)
-    desk = RecordedDesk(writer, gossip_enabled=gossip, builds=(1, 1, 2, 2))
+    desk = RecordedHost(writer, gossip_enabled=gossip, builds=(1, 1, 2, 2))
     requests: list[Any] = []
     for step, a, b in history:
         if step == "take":
@@ -387,7 +387,7 @@
 def test_entries_since_a_time_are_read_without_uncompressing_earlier_blocks(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    recorded(tmp_path, rounds=400, segment_bytes=1000)
+    record_history(tmp_path, rounds=400, segment_bytes=1000)
     (segments,) = read_runs(tmp_path).runs[0].contiguous_segments()
     assert len(segments) > 3
     all_entries = list(entries_of(segments))
--- a/tests/capture/test_snapshot_upgrade.py
+++ b/tests/capture/test_snapshot_upgrade.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from recorded import recorded
+from recorded import record_history
 
 from stepsail import decisions
 from stepsail.capture.entries import Command
@@ -112,7 +112,7 @@
 
 
 def test_snapshot_has_a_schema_number_and_a_newer_one_is_refused(tmp_path: Path) -> None:
-    recorded(tmp_path, rounds=400, segment_bytes=1000)
+    record_history(tmp_path, rounds=400, segment_bytes=1000)
     snapshot = read_runs(tmp_path).runs[0].segments[1].snapshot()
     assert snapshot is not None
     stored = msgspec.msgpack.decode(snapshot)
@@ -125,7 +125,7 @@
 
 
 def test_build_loaded_from_a_folder_leaves_the_running_one_unchanged(tmp_path: Path) -> None:
-    recorded(tmp_path / "kept")
+    record_history(tmp_path / "kept")
     (segments,) = read_runs(tmp_path / "kept").runs[0].contiguous_segments()
     other = load_build(PACKAGE)
     assert other.Router is not decisions.Router and other.Server is not decisions.Server
@@ -137,7 +137,7 @@
 
 
 def test_build_in_one_file_uses_current_classes_that_it_lacks(tmp_path: Path) -> None:
-    recorded(tmp_path / "kept")
+    record_history(tmp_path / "kept")
     (segments,) = read_runs(tmp_path / "kept").runs[0].contiguous_segments()
     file = tmp_path / "eager.py"
     file.write_text(
--- a/tests/decisions/test_exposure.py
+++ b/tests/decisions/test_exposure.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import FakeHost
-from scenarios import keyed, on_trial
+from scenarios import accept_with_key, canary_host
 
 from stepsail.decisions.interface import (
     AttemptOutcome,
@@ -29,7 +29,11 @@
 def test_restarted_instance_exposes_nothing_for_one_window() -> None:
     """The unknown attempts of the previous run and the attempts of this run together keep to the limit."""
     host = FakeHost(
-        builds=(1, 2), burst_allowance=2.0, exposure_window=3.0, idempotent_only_stages=0, began=100.0
+        builds=(1, 2),
+        burst_allowance=2.0,
+        exposure_window=3.0,
+        idempotent_only_stages=0,
+        exposure_started_at=100.0,
     )
     host.receive_release_state(2, 0, ReleasePhase.CANARY, 0.1)
     for _ in range(40):
@@ -49,11 +53,11 @@
     host.receive_release_state(2, 0, ReleasePhase.CANARY, 1.0)
     bound = set()
     for key in range(1, 200):
-        first = keyed(host, key)
+        first = accept_with_key(host, key)
         build = first.attempts[0].build
         first.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
         bound |= {key} if build == 2 else set()
-        second = keyed(host, key)
+        second = accept_with_key(host, key)
         assert second.attempts[0].build >= build
         bound |= {key} if second.attempts[0].build == 2 else set()
         second.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
@@ -64,15 +68,15 @@
     # that an outdated endpoint list still held.
     assert not host.router.exposure.builds_by_key
     for key in range(200, 260):
-        request = keyed(host, key)
+        request = accept_with_key(host, key)
         assert request.attempts[0].build == 2
         request.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, ())
     host.receive_release_state(2, 0, ReleasePhase.ROLLING_BACK, 0.0)
-    assert {keyed(host, key).attempts[0].build for key in range(200, 204)} == {1}
+    assert {accept_with_key(host, key).attempts[0].build for key in range(200, 204)} == {1}
     host.router.admission.window = 99.0
     # Keys that the withdrawn build answered are no longer bound.
     host.receive_release_state(3, 0, ReleasePhase.CANARY, 0.1)
-    assert keyed(host, 5).attempts
+    assert accept_with_key(host, 5).attempts
 
 
 def test_restarted_instance_uses_a_share_of_the_limit_if_all_servers_run_the_canary() -> None:
@@ -82,7 +86,7 @@
         burst_allowance=2.0,
         exposure_window=30.0,
         idempotent_only_stages=0,
-        began=100.0,
+        exposure_started_at=100.0,
         exposure_limits=(0.5, 1.0),
     )
     host.receive_release_state(2, 1, ReleasePhase.CANARY, 1.0)
@@ -101,7 +105,7 @@
 ) -> None:
     # Votes were not answered for five seconds, during which a build found to be bad still got half of all
     # attempts.
-    host = on_trial(builds)
+    host = canary_host(builds)
     assert host.router.canary
     host.router.canary.ballot.adopt(Verdict.ROLL_BACK, False)
     if phase is ReleasePhase.ROLLING_BACK:
--- a/tests/decisions/test_pause.py
+++ b/tests/decisions/test_pause.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import FakeHost
-from scenarios import filled, on_trial
+from scenarios import canary_host, fill_histograms
 
 from stepsail.decisions.evidence import log_evidence
 from stepsail.decisions.histogram import FAILURE_EDGE, LatencyHistogram
@@ -21,7 +21,7 @@
 def test_slowdown_of_all_builds_is_the_canarys_fault_only_if_a_pause_ends_it(build_is_slow: bool) -> None:
     # Crashes, bursts and load shifts had good builds rolled back: a large sample detects any slowdown,
     # whatever its cause.
-    host = on_trial((1, 1, 2, 2))
+    host = canary_host((1, 1, 2, 2))
     host.receive_release_state(2, 0, ReleasePhase.CANARY, 0.2)  # a low exposure limit
     canary = host.router.canary
     assert canary
@@ -44,10 +44,10 @@
 @pytest.mark.parametrize("earlier_servers", [2, 0])
 def test_canary_is_paused_only_while_earlier_servers_can_do_its_work(earlier_servers: int) -> None:
     # In the last stage all servers ran the new build, and each pause rejected all requests of the fleet.
-    host = on_trial((1,) * earlier_servers + (2,) * 2)
+    host = canary_host((1,) * earlier_servers + (2,) * 2)
     canary, observations = host.router.canary, host.router.observations
     assert canary
-    filled((observations.normal, 2), (observations.recent, 7), count=400)
+    fill_histograms((observations.normal, 2), (observations.recent, 7), count=400)
     observations.changed = True
     host.advance(0.3)
     assert bool(canary.pause.started_at) is bool(earlier_servers)
@@ -89,7 +89,7 @@
     canary, observations = host.router.canary, host.router.observations
     assert canary
     canary.pause.failed = has_failed
-    filled((observations.normal, 2), (observations.recent, 7), count=400)
+    fill_histograms((observations.normal, 2), (observations.recent, 7), count=400)
     observations.changed = True
     host.advance(0.3)
     assert bool(canary.pause.started_at) is is_paused
@@ -98,10 +98,10 @@
 def test_failed_pause_delays_promotion_until_the_stage_is_old() -> None:
     # After a pause that did not help, the slow latencies counted as normal, and the build that caused them
     # was promoted to all servers.
-    host = on_trial((1, 1, 2, 2))
+    host = canary_host((1, 1, 2, 2))
     canary, observations = host.router.canary, host.router.observations
     assert canary
-    filled(
+    fill_histograms(
         (observations.normal, 2),
         (observations.recent, 7),
         (canary.baseline, 7),
@@ -111,7 +111,7 @@
     assert canary.evaluate(True) is Verdict.NONE and canary.pause.started_at
     for _ in range(10):
         host.clock += 0.5
-        filled((observations.recent, 7), count=40)
+        fill_histograms((observations.recent, 7), count=40)
         canary.evaluate(True)
     assert canary.pause.failed and not canary.pause.started_at and canary.evaluate(True) is Verdict.NONE
     host.clock = canary.started_at + 12.0
@@ -121,14 +121,14 @@
 def test_unanswered_vote_to_promote_turns_into_a_pause_once_all_builds_are_slow() -> None:
     # Release control was down when a vote to promote was cast. The build slowed down all servers a moment
     # later, yet for six seconds the vote was repeated and the build received its share of the attempts.
-    host = on_trial((1, 1, 2, 2))
+    host = canary_host((1, 1, 2, 2))
     host.receive_endpoint_list((1, 1, 2, 2), start=host.clock - 4.0)
     canary, observations = host.router.canary, host.router.observations
     assert canary
     canary.ballot.adopt(Verdict.PROMOTE, False)
     host.advance(0.3)
     assert host.votes == [(2, 0, Verdict.PROMOTE)]
-    filled((observations.normal, 2), (observations.recent, 7))
+    fill_histograms((observations.normal, 2), (observations.recent, 7))
     observations.changed = True
     host.advance(0.3)
     observations.changed = True
@@ -142,17 +142,17 @@
 
 def test_newest_outcomes_suffice_to_detect_a_slowdown_of_all_builds() -> None:
     # It took two seconds until the slow outcomes were detected among the many earlier fast ones.
-    host = on_trial((1, 1, 2, 2))
+    host = canary_host((1, 1, 2, 2))
     canary, observations = host.router.canary, host.router.observations
     assert canary
-    filled((observations.normal, 2), (observations.recent, 2), count=400)
-    filled((observations.recent, 7), (observations.newest, 7), count=20)
+    fill_histograms((observations.normal, 2), (observations.recent, 2), count=400)
+    fill_histograms((observations.recent, 7), (observations.newest, 7), count=20)
     assert log_evidence(observations.normal, observations.recent, range(FAILURE_EDGE)) < log(
         2 / host.router.voting.alpha
     )
     canary.evaluate(True)
     assert canary.pause.started_at
-    filled((observations.recent, 2), (observations.newest, 2))
+    fill_histograms((observations.recent, 2), (observations.newest, 2))
     host.clock += 5.0
     observations.fade()
     assert not observations.newest and observations.recent
@@ -160,13 +160,13 @@
 
 def test_pause_ends_once_attempts_sent_during_it_are_significantly_faster() -> None:
     # A build that slowed down all servers was paused for 4.5 s though latencies were normal again after two.
-    host = on_trial((1, 1, 2, 2))
+    host = canary_host((1, 1, 2, 2))
     canary, observations = host.router.canary, host.router.observations
     assert canary
-    filled((observations.normal, 2), (observations.recent, 7), count=400)
+    fill_histograms((observations.normal, 2), (observations.recent, 7), count=400)
     assert canary.evaluate(True) is Verdict.NONE and canary.pause.started_at
     host.clock += 1.0
-    filled((observations.recent, 8), count=50)  # sent before the pause: slow latencies
+    fill_histograms((observations.recent, 8), count=50)  # sent before the pause: slow latencies
     assert canary.evaluate(True) is Verdict.PAUSE
     host.clock += 1.0
     assert (
@@ -174,5 +174,5 @@
         and not observations.recent
         and canary.pause.latencies_before[0].bins[8] == 50
     )
-    filled((observations.recent, 2), count=200)
+    fill_histograms((observations.recent, 2), count=200)
     assert canary.evaluate(True) is Verdict.ROLL_BACK and not canary.pause.started_at
--- a/tests/decisions/test_request.py
+++ b/tests/decisions/test_request.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import FakeHost
-from scenarios import on_trial
+from scenarios import canary_host
 
 from stepsail.decisions.interface import (
     AttemptOutcome,
@@ -77,7 +77,7 @@
     # Clients' retries arrived with a tenth of their time left; each one's timeout counted as a failure of the
     # build that handled it.
     for duration, is_evidence in ((0.1, False), (2.9, True)):
-        host = on_trial((2, 2))
+        host = canary_host((2, 2))
         request = host.accept(0)
         attempt = request.attempts[0]
         host.advance(0.01)
@@ -89,7 +89,7 @@
 def test_attempts_sent_before_evidence_was_discarded_are_no_evidence() -> None:
     # When a stalled class was found, only the late ones of the earlier attempts were still in flight. Counted
     # as evidence, they caused the rollback of a good build.
-    host = on_trial((2, 2))
+    host = canary_host((2, 2))
     request = host.accept(0)
     host.advance(0.5)
     host.router.discard_evidence()
--- a/tests/decisions/test_router.py
+++ b/tests/decisions/test_router.py
@@ -21,10 +21,10 @@
     host.router.release_counts_received(1, 9, 5, 1, 0.1, 1.0)  # an unknown class
     host.servers[0].answer_disputed(0, 1.0)
     host.servers[0].health_check_finished(0.1, AttemptOutcome.SERVED, (float("nan"),))
-    expired = host.accept(0, lasts=-1.0)
+    expired = host.accept(0, timeout=-1.0)
     assert expired in host.rejected  # its deadline had passed already
     host.router.endpoint_list_received(True, False)  # an empty complete list: all servers are gone
-    waiting = host.accept(0, lasts=0.5)
+    waiting = host.accept(0, timeout=0.5)
     assert not waiting.attempts and waiting not in host.rejected
     host.advance(0.6)
     assert waiting in host.rejected
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from helpers import FakeHost
-from scenarios import on_trial
+from scenarios import canary_host
 
 from stepsail.decisions.interface import (
     AttemptOutcome,
@@ -21,7 +21,7 @@
 
 def test_slow_path_is_avoided_and_is_no_evidence() -> None:
     # A slow, lossy path between zones caused the rollback of a good build, and half of all answers were late.
-    host = on_trial((1, 1, 1, 1))
+    host = canary_host((1, 1, 1, 1))
     for _ in range(200):
         request = host.accept(0)
         is_remote = request.attempts[0].server.zone == 1
--- a/tests/decisions/test_stall_detection.py
+++ b/tests/decisions/test_stall_detection.py
@@ -45,7 +45,9 @@
         if due.attempts and not due.attempts[0].ended:
             due.attempt_ended(0, AttemptOutcome.SERVED, True, 2.0, ())
     for _ in range(300):
-        request = host.router.accept_request(9000 + host.number(), 0, 1, None, host.clock + 3.0, 0, False)
+        request = host.router.accept_request(
+            9000 + host.next_request_number(), 0, 1, None, host.clock + 3.0, 0, False
+        )
         host.advance(0.1)
         if request.attempts and not request.attempts[0].ended:
             request.attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
--- a/tests/endings/test_any_order.py
+++ b/tests/endings/test_any_order.py
@@ -1,8 +1,8 @@
-"""One real process, and connections, bytes, closes, list changes, answers and SIGTERM in an order that chance draws.
+"""Tests one real process with connections, data, closes, list changes, responses and SIGTERM in random order.
 
-Whatever the order: a request of which the last byte was written to a connection that the system took, by a client
-that is still there, gets one whole answer, and none gets two; the process ends by itself, in its time. It stands
-still now and then, so that connections and requests come while its accept loop does not run.
+In any order, a request whose last byte was written to a connection that the kernel accepted, by a client that
+is still connected, gets exactly one complete response, and the process exits by itself in time. The process
+is paused now and then, so that connections and requests arrive while its accept loop does not run.
 """
 
 from __future__ import annotations
@@ -27,99 +27,113 @@
 from stepsail.standins.instances import free_address
 
 ROOT = Path(__file__).parents[2]
-STEPS, LEFT = 120, 1400  # what happens before the last SIGTERM; ms that each client waits
-GRACE = 0.5  # s beyond a client's time in which a late answer is an answer
+# Number of steps before SIGTERM; time-out in ms of each client's request.
+STEPS, CLIENT_TIMEOUT_MS = 120, 1400
+LATE_RESPONSE_GRACE = 0.5  # s after a client's time-out in which a late response still counts
 
 
 class Client:
-    """A connection outside the loop, with at most one request under way."""
+    """A client connection outside the loop, with at most one request in flight.
+
+    Attributes:
+        unsent: Bytes of the request in flight that have not been sent yet.
+        received: All bytes received on the connection.
+        request_id: The id of the request in flight, or an empty string.
+        sent_at: When bytes were last sent.
+        served: The number of requests that have got their response.
+    """
 
     def __init__(self, listen: tuple[str, int]) -> None:
         self.sock = socket.create_connection(listen, 1.0)
         self.sock.setblocking(False)
-        self.rest, self.got, self.mark = b"", b"", ""
-        self.since = 0.0
+        self.unsent, self.received, self.request_id = b"", b"", ""
+        self.sent_at = 0.0
         self.open, self.served = True, 0
 
     @property
-    def owed(self) -> bool:
-        return bool(self.mark) and not self.rest
-
-    def answers(self) -> int:
-        """Whole answers so far; what is behind them is left in `got`."""
-        found, text = 0, self.got
-        while b"\r\n\r\n" in text:
-            head, _, body = text.partition(b"\r\n\r\n")
+    def awaits_response(self) -> bool:
+        """Whether a complete request has been sent, and its response has not been received."""
+        return bool(self.request_id) and not self.unsent
+
+    def count_responses(self) -> int:
+        """Return the number of complete responses received so far."""
+        responses, unparsed = 0, self.received
+        while b"\r\n\r\n" in unparsed:
+            head, _, body = unparsed.partition(b"\r\n\r\n")
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0)
             if len(body) < length:
                 break
-            found, text = found + 1, body[length:]
-        return found
+            responses, unparsed = responses + 1, body[length:]
+        return responses
 
     def read(self) -> None:
-        """Take what has come; the end of the connection, or a reset, is one that is not open any more."""
+        """Read the bytes that have arrived; the end of the connection or a reset clears `open`."""
         with contextlib.suppress(BlockingIOError):
             while self.open:
                 try:
                     part = self.sock.recv(1 << 16)
                 except ConnectionError:
                     part = b""
-                self.got += part
+                self.received += part
                 self.open = bool(part)
-        if self.owed and self.answers() > self.served:
-            self.served, self.mark = self.served + 1, ""
+        if self.awaits_response and self.count_responses() > self.served:
+            self.served, self.request_id = self.served + 1, ""
 
 
-class Order:
-    """A drawn order of events over one process. Keeps what broke as text."""
+class RandomRun:
+    """Runs one process with events in random order, and records each violation as text."""
 
     def __init__(self, loop: Loop, folder: Path, seed: int) -> None:
-        self.loop, self.folder, self.random, self.broke = loop, folder, Random(seed), list[str]()
-        self.clients, self.marks = list[Client](), 0
-        self.boxes = [ScriptedServer(loop, self.script, number=at) for at in range(3)]
+        self.loop, self.folder, self.random, self.violations = loop, folder, Random(seed), list[str]()
+        self.clients, self.request_count = list[Client](), 0
+        self.servers = [ScriptedServer(loop, self.script, number=number) for number in range(3)]
         self.index = 2
-        self.states = ["up"] * len(self.boxes)
-        self.discovery = ScriptedService(loop, self.members())
+        self.states = ["up"] * len(self.servers)
+        self.discovery = ScriptedService(loop, self.endpoint_list())
         self.listen = free_address()
 
-    def members(self) -> dict[str, object]:
+    def endpoint_list(self) -> dict[str, object]:
         return {
             "index": self.index,
             "snapshot": True,
-            "endpoints": [endpoint_record(b, status=s) for b, s in zip(self.boxes, self.states, strict=True)],
+            "endpoints": [
+                endpoint_record(server, status=status)
+                for server, status in zip(self.servers, self.states, strict=True)
+            ],
         }
 
     def script(
-        self, server: ScriptedServer, stream: Stream, asked: Request, connection: ServerConnection
+        self, server: ScriptedServer, stream: Stream, request: Request, connection: ServerConnection
     ) -> bytes | None:
         server.loop.sleep(self.random.choice((0.0, 0.0, 0.005, 0.05, 0.3)))
-        kind = self.random.random()
-        if kind < 0.1:
+        draw = self.random.random()
+        if draw < 0.1:
             return None
-        if kind < 0.2:
+        if draw < 0.2:
             return encode_response(500, [], b"")
-        return encode_response(200, [], asked.header(b"x-call-id") or b"")
+        return encode_response(200, [], request.header(b"x-call-id") or b"")
 
     def step(self) -> None:
-        free = [c for c in self.clients if c.open and not c.mark]
-        half = [c for c in self.clients if c.open and c.rest]
+        """Trigger one random event, wait for a random time and check the clients."""
+        idle = [client for client in self.clients if client.open and not client.request_id]
+        partly_sent = [client for client in self.clients if client.open and client.unsent]
         draw = self.random.random()
         if draw < 0.2 or not self.clients:
             with contextlib.suppress(OSError):
                 self.clients.append(Client(self.listen))
-        elif draw < 0.6 and free:
-            client = self.random.choice(free)
-            self.marks += 1
-            client.mark = f"m{self.marks}"
+        elif draw < 0.6 and idle:
+            client = self.random.choice(idle)
+            self.request_count += 1
+            client.request_id = f"m{self.request_count}"
             data = encode_client_request(
-                client.mark, time_left_ms=LEFT, body=self.random.choice((b"", b"{}"))
+                client.request_id, time_left_ms=CLIENT_TIMEOUT_MS, body=self.random.choice((b"", b"{}"))
             )
             cut = self.random.choice((len(data), len(data), self.random.randrange(1, len(data))))
-            client.rest = data[cut:]
+            client.unsent = data[cut:]
             self.send(client, data[:cut])
-        elif draw < 0.75 and half:
-            client = self.random.choice(half)
-            data, client.rest = client.rest, b""
+        elif draw < 0.75 and partly_sent:
+            client = self.random.choice(partly_sent)
+            data, client.unsent = client.unsent, b""
             self.send(client, data)
         elif draw < 0.8:
             client = self.random.choice(self.clients)
@@ -128,34 +142,40 @@
         elif draw < 0.9:
             self.index += 1
             self.states[self.random.randrange(3)] = self.random.choice(("up", "draining"))
-            self.discovery.messages = [self.members()]
+            self.discovery.messages = [self.endpoint_list()]
         self.loop.sleep(self.random.choice((0.0, 0.0, 0.001, 0.01, 0.03)))
-        self.look()
+        self.check_clients()
 
-    def stand_still(self, one: subprocess.Popen[bytes]) -> None:
-        one.send_signal(signal.SIGSTOP)
+    def pause(self, process: subprocess.Popen[bytes]) -> None:
+        process.send_signal(signal.SIGSTOP)
         for _ in range(self.random.randrange(5, 20)):
             self.step()
-        one.send_signal(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
 
     def send(self, client: Client, data: bytes) -> None:
         try:
             client.sock.sendall(data)
-            client.since = self.loop.now()
+            client.sent_at = self.loop.now()
         except OSError:
             client.open = False
 
-    def look(self) -> None:
+    def check_clients(self) -> None:
+        """Read from all clients, record violations and remove the clients whose connection has ended."""
         for client in list(self.clients):
-            mark, whole = client.mark, client.owed
+            request_id, was_complete = client.request_id, client.awaits_response
             client.read()
-            if client.answers() > client.served:
-                self.broke.append(f"{mark}: an answer to nothing that was asked")
-            if whole and client.mark and not client.open and client.served == 0:
-                self.broke.append(f"{mark}: whole on a new connection that ended without an answer")
-            if client.owed and self.loop.now() > client.since + LEFT / 1000.0 + GRACE:
-                self.broke.append(f"{mark}: no answer in the client's time")
-            if not client.open or (client.owed and self.broke):
+            if client.count_responses() > client.served:
+                self.violations.append(f"{request_id}: a response without a request")
+            if was_complete and client.request_id and not client.open and client.served == 0:
+                self.violations.append(
+                    f"{request_id}: complete on a new connection that ended without a response"
+                )
+            if (
+                client.awaits_response
+                and self.loop.now() > client.sent_at + CLIENT_TIMEOUT_MS / 1000.0 + LATE_RESPONSE_GRACE
+            ):
+                self.violations.append(f"{request_id}: no response within the client's time-out")
+            if not client.open or (client.awaits_response and self.violations):
                 self.clients.remove(client)
                 client.sock.close()
 
@@ -164,58 +184,60 @@
             self.folder,
             listen="{}:{}".format(*self.listen),
             discovery=self.discovery.address,
-            known=self.members(),
+            known=self.endpoint_list(),
             settings=SETTINGS,
         )
         with (self.folder / "log").open("wb") as log:
-            one = subprocess.Popen(
+            process = subprocess.Popen(
                 [sys.executable, "-m", "stepsail.platform"],
                 cwd=ROOT,
                 stderr=log,
                 env={"PATH": "/usr/bin:/bin"} | environ,
             )
             try:
-                self.until(lambda: b'"ready"' in (self.folder / "log").read_bytes())
+                self.wait_until(lambda: b'"ready"' in (self.folder / "log").read_bytes())
                 for _ in range(STEPS):
                     self.step()
                     if self.random.random() < 0.02:
-                        self.stand_still(one)
-                one.send_signal(signal.SIGTERM)
+                        self.pause(process)
+                process.send_signal(signal.SIGTERM)
                 stop_requested_at = self.loop.now()
                 while self.loop.now() < stop_requested_at + CONNECTING_CLIENTS_GRACE + 0.3:
                     self.step()
-                    if self.random.random() < 0.05 and one.poll() is None:
-                        self.stand_still(one)
-                # Those that had begun a request end it; what then waits is owed an answer, or the half one an end.
-                for client in [c for c in self.clients if c.open and c.rest]:
-                    data, client.rest = client.rest, b""
+                    if self.random.random() < 0.05 and process.poll() is None:
+                        self.pause(process)
+                # Clients that have sent a part of a request send the rest. A request that is then complete
+                # must get a response, and the connection of an incomplete one must be closed.
+                for client in [client for client in self.clients if client.open and client.unsent]:
+                    data, client.unsent = client.unsent, b""
                     self.send(client, data)
-                self.until(lambda: one.poll() is not None, within=6.0)
-                self.look()
-                assert one.returncode == 0, (self.folder / "log").read_text()[-2000:]
+                self.wait_until(lambda: process.poll() is not None, timeout=6.0)
+                self.check_clients()
+                assert process.returncode == 0, (self.folder / "log").read_text()[-2000:]
             finally:
-                one.kill()
-                one.wait()
+                process.kill()
+                process.wait()
         lines = (self.folder / "log").read_text().splitlines()
         stopped = msgspec.json.decode(
             next(line for line in lines if '"stopped"' in line and '"accepted"' in line)
         )
-        assert stopped["unanswered"] == 0 and not self.broke, self.broke
-
-    def until(self, true: object, within: float = 10.0) -> None:
-        end = self.loop.now() + within
-        assert callable(true)
-        while not true():
-            assert self.loop.now() < end, (self.folder / "log").read_text()[-2000:]
-            self.look()
+        assert stopped["unanswered"] == 0 and not self.violations, self.violations
+
+    def wait_until(self, condition: object, timeout: float = 10.0) -> None:
+        """Check the clients until a condition holds; fail after `timeout`, in seconds."""
+        deadline = self.loop.now() + timeout
+        assert callable(condition)
+        while not condition():
+            assert self.loop.now() < deadline, (self.folder / "log").read_text()[-2000:]
+            self.check_clients()
             self.loop.sleep(0.005)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_each_accepted_request_has_one_answer_in_any_order(tmp_path: Path, seed: int) -> None:
+def test_each_accepted_request_gets_one_response_in_any_order(tmp_path: Path, seed: int) -> None:
     driver = PollDriver()
     loop = Loop(driver, lambda event, **fields: None)
     try:
-        loop.run(lambda: Order(loop, tmp_path, seed).run())
+        loop.run(lambda: RandomRun(loop, tmp_path, seed).run())
     finally:
         driver.shutdown()
--- a/tests/endings/test_clients.py
+++ b/tests/endings/test_clients.py
@@ -1,4 +1,7 @@
-"""Clients that leave, come in pieces or come again, and connections that end by time or for room: forced instants."""
+"""Tests for clients that disconnect, send in parts or repeat a request, and for closed client connections.
+
+Connections are closed because of a time-out or to make room. The tests force the exact order of events.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +20,12 @@
 from stepsail.proxy.upstream_pool import Upstream, UpstreamPool
 
 
-def stand_still(rig: PlatformRig, seconds: float) -> None:
-    """The loop does not turn: what is due by time and what comes by the network are then there in one turn."""
+def block_loop(rig: PlatformRig, seconds: float) -> None:
+    """Block the loop, so that due timers and received data are then handled in the same iteration."""
     time.sleep(seconds)
 
 
-def test_client_that_closed_behind_its_request_gets_no_attempt(tmp_path: Path) -> None:
+def test_client_that_closes_after_its_request_gets_no_attempt(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
         client.sendall(encode_client_request("g1"))
@@ -37,19 +40,20 @@
 def test_client_that_disconnects_during_connect_gets_no_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The instant before the first byte: the connection to the server is up, the client closes, no turn between.
-    real, leaving = UpstreamPool.acquire, list[socket.socket]()
+    # The client closes just before the first byte: the connection to the server is established, and the loop
+    # does not run in between.
+    real_acquire, closing_clients = UpstreamPool.acquire, list[socket.socket]()
 
-    def connection(pool: UpstreamPool, upstream: Upstream, until: float) -> ClientConnection | None:
-        found = real(pool, upstream, until)
-        while leaving:
-            leaving.pop().close()
-        return found
+    def acquire(pool: UpstreamPool, upstream: Upstream, until: float) -> ClientConnection | None:
+        connection = real_acquire(pool, upstream, until)
+        while closing_clients:
+            closing_clients.pop().close()
+        return connection
 
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
-        monkeypatch.setattr(UpstreamPool, "acquire", connection)
-        leaving.append(client)
+        monkeypatch.setattr(UpstreamPool, "acquire", acquire)
+        closing_clients.append(client)
         client.sendall(encode_client_request("c1"))
         rig.wait_until(lambda: rig.application.host.final_answers[FinalAnswer.CANCELLED_BY_CLIENT])
         rig.loop.sleep(0.05)
@@ -59,14 +63,14 @@
     PlatformRig(tmp_path, test, [answers()])
 
 
-def test_client_that_disconnects_as_an_attempt_breaks_gets_no_retry(tmp_path: Path) -> None:
+def test_client_that_disconnects_as_an_attempt_fails_gets_no_retry(tmp_path: Path) -> None:
     clients = list[socket.socket]()
 
-    def breaks(
-        server: ScriptedServer, stream: Stream, asked: Request, connection: ServerConnection
+    def disconnect_client(
+        server: ScriptedServer, stream: Stream, request: Request, connection: ServerConnection
     ) -> bytes | None:
-        clients.pop().close()  # in the turn in which the attempt ends
-        return hangs_up(server, stream, asked, connection)
+        clients.pop().close()  # in the loop iteration in which the attempt ends
+        return hangs_up(server, stream, request, connection)
 
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
@@ -76,28 +80,26 @@
         rig.loop.sleep(0.05)
         assert sum(len(server.seen) for server in rig.servers) == 1 and not rig.application.host.in_flight
 
-    PlatformRig(tmp_path, test, [breaks, breaks])
+    PlatformRig(tmp_path, test, [disconnect_client, disconnect_client])
 
 
 def test_disconnect_behind_pipelined_bytes_is_noticed(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
-        for ahead in (
-            10,
-            90_000,
-        ):  # inside what is taken in ahead, and beyond; more than the window hides the end
+        # Fewer and more bytes than the instance reads ahead. More than the receive window would hide the end.
+        for extra_bytes in (10, 90_000):
             client, before = (
                 raw_client(rig),
                 rig.application.host.final_answers[FinalAnswer.CANCELLED_BY_CLIENT],
             )
-            client.sendall(encode_client_request(f"a{ahead}"))
+            client.sendall(encode_client_request(f"a{extra_bytes}"))
             rig.wait_until(
                 lambda: any(
-                    b"a%d" % ahead == r.header(b"x-call-id")  # noqa: B023
-                    for r in rig.servers[0].seen
+                    b"a%d" % extra_bytes == request.header(b"x-call-id")  # noqa: B023
+                    for request in rig.servers[0].seen
                 )
             )
             client.setblocking(False)
-            client.send(b"x" * ahead)
+            client.send(b"x" * extra_bytes)
             client.shutdown(socket.SHUT_WR)
             start = rig.loop.now()
             final_answers = rig.application.host.final_answers
@@ -110,9 +112,10 @@
     PlatformRig(tmp_path, test, [hangs(1.0)])
 
 
-def test_waiting_client_that_disconnects_frees_its_slot_at_once(tmp_path: Path) -> None:
+def test_disconnected_client_of_a_waiting_request_frees_its_slot_at_once(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
-        rig.application.host.router.admission.window = 0.0  # type: ignore[attr-defined]  # no room: all wait
+        # No capacity: all requests wait.
+        rig.application.host.router.admission.window = 0.0  # type: ignore[attr-defined]
         client = raw_client(rig)
         client.sendall(encode_client_request("w1"))
         rig.wait_until(lambda: rig.application.host.in_flight)
@@ -126,15 +129,15 @@
     PlatformRig(tmp_path, test, [answers()])
 
 
-def test_request_id_stays_taken_while_an_attempt_of_a_disconnected_client_is_open(tmp_path: Path) -> None:
+def test_request_id_stays_in_use_while_an_attempt_of_a_disconnected_client_is_open(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
         client = raw_client(rig)
         client.sendall(encode_client_request("twice", body=b"{}"))
         rig.wait_until(lambda: rig.servers[0].seen)
         client.close()
         rig.wait_until(lambda: rig.application.host.final_answers[FinalAnswer.CANCELLED_BY_CLIENT])
-        again = rig.send_request("/record", "POST", "twice", body=b"{}", idempotency_key="k-twice")
-        assert again.status == 409 and len(rig.servers[0].seen) == 1
+        repeated = rig.send_request("/record", "POST", "twice", body=b"{}", idempotency_key="k-twice")
+        assert repeated.status == 409 and len(rig.servers[0].seen) == 1
         rig.wait_until(lambda: not rig.application.host.in_flight)
         rig.servers[0].script = answers(body=b"second")
         assert (
@@ -145,26 +148,28 @@
     PlatformRig(tmp_path, test, [hangs(0.4)])
 
 
-@pytest.mark.parametrize("kind", ["idle", "first", "pieces"])
+@pytest.mark.parametrize("kind", ["idle", "first", "partial"])
 def test_request_complete_as_its_read_timeout_expires_is_answered(tmp_path: Path, kind: str) -> None:
-    # The time-out and the last bytes are found in one turn of the loop; timers run before the look at the ports.
+    # The loop finds the time-out and the last bytes in the same iteration; it runs timers before it polls
+    # sockets.
     def test(rig: PlatformRig) -> None:
-        bounds, client = rig.application.listener.connection_limits, raw_client(rig)
+        limits, client = rig.application.listener.connection_limits, raw_client(rig)
         if kind == "idle":
             client.sendall(encode_client_request("t0"))
             assert b"200 OK" in read_all(rig.loop, client, one_response=True)
             rig.wait_until(lambda: rig.application.listener.reaper.idle)
-        said = encode_client_request("t1")
-        if kind == "pieces":
-            client.sendall(said[:20])
+        data = encode_client_request("t1")
+        if kind == "partial":
+            client.sendall(data[:20])
         rig.wait_until(
             lambda: rig.application.listener.reaper.idle
             or rig.application.listener.reaper.awaiting_first_request
         )
         rig.loop.sleep(0.02)
-        stand_still(rig, (bounds.idle_timeout if kind == "idle" else bounds.first_request_timeout) + 0.05)
-        client.sendall(said[20:] if kind == "pieces" else said)
-        # It may be as old as the standstill, and then it is denied for that: one answer, and not a close.
+        block_loop(rig, (limits.idle_timeout if kind == "idle" else limits.first_request_timeout) + 0.05)
+        client.sendall(data[20:] if kind == "partial" else data)
+        # The request may be too old after the time in which the loop was blocked, and is then rejected: this
+        # is one response as well, and the connection must not be closed without any.
         assert read_all(rig.loop, client, one_response=True)[:12] in (b"HTTP/1.1 200", b"HTTP/1.1 503")
 
     PlatformRig(tmp_path, test, [answers()])
@@ -176,16 +181,16 @@
         rig.wait_until(lambda: rig.servers[0].seen)
         attempt = next(iter(rig.application.host.in_flight.values())).attempts[0]
         rig.wait_until(lambda: attempt.task.current_wait)
-        # The server's answer is written and the time of the attempt over before the loop turns again.
+        # The server's response is written, and the attempt times out, before the next iteration of the loop.
         rig.loop.yield_turn()
-        answer = response_task.join(2.0)
-        assert (answer.status, answer.body) in ((200, b"ok"), (504, answer.body))
+        response = response_task.join(2.0)
+        assert (response.status, response.body) in ((200, b"ok"), (504, response.body))
 
     def script(
-        server: ScriptedServer, stream: Stream, asked: Request, connection: ServerConnection
+        server: ScriptedServer, stream: Stream, request: Request, connection: ServerConnection
     ) -> bytes | None:
         server.loop.sleep(0.45)
-        stream.write(answers()(server, stream, asked, connection) or b"", 1.0)
+        stream.write(answers()(server, stream, request, connection) or b"", 1.0)
         time.sleep(0.14)
         return b""
 
@@ -194,37 +199,38 @@
 
 def test_only_connections_without_a_byte_are_evicted(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
-        listener, most = rig.application.listener, rig.application.settings.max_client_connections
-        crowd = [raw_client(rig) for _ in range(most)]
-        rig.wait_until(lambda: len(listener.reaper.awaiting_first_request) == most)
+        listener, max_connections = rig.application.listener, rig.application.settings.max_client_connections
+        clients = [raw_client(rig) for _ in range(max_connections)]
+        rig.wait_until(lambda: len(listener.reaper.awaiting_first_request) == max_connections)
         rig.loop.sleep(FIRST_BYTE_GRACE + 0.01)
-        crowd[0].sendall(
-            encode_client_request("room0")
-        )  # the longest silent one has spoken, and its bytes lie unread
+        # The client that has been silent longest sends a request, which the instance has not read yet.
+        clients[0].sendall(encode_client_request("room0"))
         assert listener.reaper.make_room() and listener.reaper.make_room()
-        assert b"200 OK" in read_all(rig.loop, crowd[0], one_response=True)
-        assert read_all(rig.loop, crowd[1]) == b"" == read_all(rig.loop, crowd[2])
-        for one in crowd:
-            one.close()
+        assert b"200 OK" in read_all(rig.loop, clients[0], one_response=True)
+        assert read_all(rig.loop, clients[1]) == b"" == read_all(rig.loop, clients[2])
+        for client in clients:
+            client.close()
 
     PlatformRig(tmp_path, test, [answers()], limits={"sockets": 96})
 
 
-def test_slowest_sender_gets_503_where_all_have_sent_a_part(tmp_path: Path) -> None:
+def test_slowest_sender_gets_503_if_all_clients_have_sent_a_part(tmp_path: Path) -> None:
     def test(rig: PlatformRig) -> None:
-        listener, most = rig.application.listener, rig.application.settings.max_client_connections
-        crowd = [raw_client(rig) for _ in range(most)]
-        for one in crowd:
-            one.sendall(b"GET /lookup HT")
+        listener, max_connections = rig.application.listener, rig.application.settings.max_client_connections
+        clients = [raw_client(rig) for _ in range(max_connections)]
+        for client in clients:
+            client.sendall(b"GET /lookup HT")
         rig.wait_until(
-            lambda: len(listener.reaper.awaiting_first_request) == most
-            and all(w.connection.reader.begun for w in listener.reaper.awaiting_first_request.values())
+            lambda: len(listener.reaper.awaiting_first_request) == max_connections
+            and all(
+                waiting.connection.reader.begun for waiting in listener.reaper.awaiting_first_request.values()
+            )
         )
         start = rig.loop.now()
         assert rig.send_request(request_id="late").status in (200, 503) and rig.loop.now() - start < 1.0
-        assert b"HTTP/1.1 503" in read_all(rig.loop, crowd[0])
-        for one in crowd:
-            one.close()
+        assert b"HTTP/1.1 503" in read_all(rig.loop, clients[0])
+        for client in clients:
+            client.close()
 
     PlatformRig(tmp_path, test, [answers()], limits={"sockets": 96})
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A host that writes down what an umpire asks of it, and a small router_settings."""
+"""Provides a host that records the calls of a router, and settings to test them with."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from stepsail.decisions.router import Router
 from stepsail.decisions.server import Server
 
-GOOD = """
+VALID_SETTINGS = """
 umpire 1 of 3          # this one
 zones hall-a hall-b
 zone hall-b
@@ -54,8 +54,9 @@
 """
 
 
-def router_settings(**changed: Any) -> RouterSettings:
-    facts: dict[str, Any] = {
+def router_settings(**overrides: Any) -> RouterSettings:
+    """Return settings with three request classes, and `overrides` in place of their fields."""
+    defaults: dict[str, Any] = {
         "request_classes": (
             RequestClass(0, 0.75, 3.0, 2.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0),
             RequestClass(1, 1.2, 5.0, 6.0, 0.0, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 2.0),
@@ -97,19 +98,19 @@
         "tenant_shares": (),
         "tenant_quotas": (),
     }
-    return RouterSettings(**(facts | changed))
+    return RouterSettings(**(defaults | overrides))
 
 
 class FakeHost:
-    """Plays the host: keeps what it is asked for, and runs the timers as the clock is moved."""
+    """A host that records the calls of its router, and fires due timers as the test advances the clock."""
 
     def __init__(
         self,
         builds: tuple[int, ...] = (1, 1, 1),
         start: float = 0.0,
         seed: int = 7,
-        began: float = 0.0,
-        **changed: Any,
+        exposure_started_at: float = 0.0,
+        **overrides: Any,
     ) -> None:
         self.clock = 100.0
         self.sent: list[tuple[Request, Server, float, float]] = []
@@ -123,33 +124,36 @@
         self.timers_set = 0
         self.outcomes_sent: list[tuple[int, list[Any]]] = []
         self.verdicts_sent: list[tuple[int, int, Verdict]] = []
-        self.router: Router = self.make(router_settings(**changed), self, seed)
-        if isinstance(self.router, Router):  # and not one that is recorded
-            self.router.exposure.started_at = (
-                began  # before all that a test tells, unless it is about a start
-            )
+        self.router: Router = self.make_router(router_settings(**overrides), self, seed)
+        # By default the exposure limits started before the first event of the test. A recorded router has no
+        # `exposure` attribute.
+        if isinstance(self.router, Router):
+            self.router.exposure.started_at = exposure_started_at
         self.servers = [self.router.add_server(bytes([i])) for i in range(len(builds))]
         self.receive_endpoint_list(builds, start)
 
-    def number(self) -> int:
+    def next_request_number(self) -> int:
         return len(self.sent)
 
-    def make(self, *args: Any) -> Any:
-        """The umpire at this desk; a test may put something between."""
+    def make_router(self, *args: Any) -> Any:
+        """Create the router; a subclass may return a wrapped one."""
         return Router(*args)
 
     def receive_endpoint_list(self, builds: tuple[int, ...], start: float = 0.0, state: int = 1) -> None:
-        for at, (server, build) in enumerate(zip(self.servers, builds, strict=True)):
-            server.update_endpoint(at % 2, at, build, state, start, 1.0)
+        for index, (server, build) in enumerate(zip(self.servers, builds, strict=True)):
+            server.update_endpoint(index % 2, index, build, state, start, 1.0)
         self.router.endpoint_list_received(True, False)
 
     def receive_release_state(self, build: int, stage: int, phase: ReleasePhase, cap: float) -> None:
         self.router.release_state_received(0.0, cap, build, stage, phase)
 
-    def accept(self, product: int = 0, lasts: float = 3.0) -> Request:
-        return self.router.accept_request(self.number(), product, 0, None, self.clock + lasts, 0, False)
+    def accept(self, request_class: int = 0, timeout: float = 3.0) -> Request:
+        return self.router.accept_request(
+            self.next_request_number(), request_class, 0, None, self.clock + timeout, 0, False
+        )
 
     def advance(self, seconds: float) -> None:
+        """Advance the clock and fire the timers that become due, in order."""
         end = self.clock + seconds
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
@@ -158,21 +162,21 @@
             due[2]()
         self.clock = end
 
-    def send_attempt(self, transaction: Any, server: Any, until: float) -> None:
-        self.sent.append((transaction, server, self.clock, until))
+    def send_attempt(self, request: Any, server: Any, deadline: float) -> None:
+        self.sent.append((request, server, self.clock, deadline))
 
-    def cancel_attempt(self, transaction: Any, relay: int) -> None:
-        self.cancelled.append(transaction)
+    def cancel_attempt(self, request: Any, attempt: int) -> None:
+        self.cancelled.append(request)
 
-    def reject(self, transaction: Any, stay_away: float) -> None:
-        self.rejected.append(transaction)
+    def reject(self, request: Any, retry_after: float) -> None:
+        self.rejected.append(request)
 
-    def fail(self, transaction: Any) -> None:
-        self.failed.append(transaction)
+    def fail(self, request: Any) -> None:
+        self.failed.append(request)
 
-    def call_later(self, after: float, call: Callable[[], None]) -> None:
+    def call_later(self, delay: float, callback: Callable[[], None]) -> None:
         self.timers_set += 1
-        self.timers.append((self.clock + after, self.timers_set, call))
+        self.timers.append((self.clock + delay, self.timers_set, callback))
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
         self.votes.append((build, stage, verdict))
@@ -186,13 +190,13 @@
 
     def watch_endpoints(self) -> None: ...
 
-    def gossip_outcomes(self, neighbour: int, seen: Any) -> None:
-        self.outcomes_sent.append((neighbour, list(seen)))
+    def gossip_outcomes(self, peer: int, outcomes: Any) -> None:
+        self.outcomes_sent.append((peer, list(outcomes)))
 
     def gossip_verdict(self, build: int, stage: int, verdict: Verdict) -> None:
         self.verdicts_sent.append((build, stage, verdict))
 
-    def gossip_stalled_classes(self, products: Any) -> None:
-        self.stalled_classes_sent.append(list(products))
+    def gossip_stalled_classes(self, request_classes: Any) -> None:
+        self.stalled_classes_sent.append(list(request_classes))
 
     def log_decision(self, text: str) -> None: ...
--- a/tests/incidents/process_fleet.py
+++ b/tests/incidents/process_fleet.py
@@ -1,4 +1,7 @@
-"""Real processes of the deployed `run` line beside the stand-ins of qualification, where a test orders each fault."""
+"""Runs real processes, started by the deployed `run` line, with the platform stand-ins of qualification.
+
+Each test injects its own faults.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +18,19 @@
 from stepsail.qualify.records import Records
 from stepsail.qualify.settings import DRAIN_GRACE, SETTINGS
 
-CLIENTS = 2  # for each instance
+CLIENTS_PER_INSTANCE = 2
 
 
 class ProcessFleet:
-    """Runs `test(fleet)` beside so many processes, two servers, discovery and release control."""
+    """Runs `test(fleet)` with `size` instances, two servers, discovery and release control.
+
+    `overrides` replace members of the settings.
+    """
 
-    def __init__(self, folder: Path, size: int, test: Callable[[ProcessFleet], None], **changed: Any) -> None:
-        self.folder, self.size, self.test, self.settings = folder, size, test, SETTINGS | changed
+    def __init__(
+        self, folder: Path, size: int, test: Callable[[ProcessFleet], None], **overrides: Any
+    ) -> None:
+        self.folder, self.size, self.test, self.settings = folder, size, test, SETTINGS | overrides
         self.records, driver = Records(), PollDriver()
         self.loop = Loop(driver, lambda event, **fields: None)
         try:
@@ -47,38 +55,50 @@
             for number in range(self.size)
         ]
         clients = [
-            Client(self.loop, self.records, one.name, one.listen, number, seed=1)
-            for one in self.instances
-            for number in range(CLIENTS)
+            Client(self.loop, self.records, instance.name, instance.listen, number, seed=1)
+            for instance in self.instances
+            for number in range(CLIENTS_PER_INSTANCE)
         ]
         try:
-            for one in self.instances:
-                one.start()
+            for instance in self.instances:
+                instance.start()
             for client in clients:
                 self.loop.spawn(client.run, name="client")
-            self.until(lambda: all(self.served_since(one, 0.0) for one in self.instances), 10.0)
+            self.wait_until(
+                lambda: all(self.served_since(instance, 0.0) for instance in self.instances), 10.0
+            )
             self.test(self)
         finally:
-            for one in self.instances:
-                one.kill()
+            for instance in self.instances:
+                instance.kill()
 
     def served_since(self, instance: Instance, since: float) -> bool:
+        """Whether the instance has completed a response with status 200 at or after a time."""
         return any(
             client.instance == instance.name and client.ended_at >= since and client.status == 200
             for client in self.records.clients
         )
 
-    def until(self, true: Callable[[], bool], within: float) -> None:
-        end = self.loop.now() + within
-        while not true():
-            assert self.loop.now() < end, self.logs()
+    def wait_until(self, condition: Callable[[], bool], timeout: float) -> None:
+        """Run the loop until a condition holds; fail after `timeout`, in seconds."""
+        deadline = self.loop.now() + timeout
+        while not condition():
+            assert self.loop.now() < deadline, self.logs()
             self.loop.sleep(0.01)
 
     def logs(self) -> str:
-        return "\n".join(one.log.read_text()[-1500:] for one in self.instances)
+        """Return the end of each instance's log."""
+        return "\n".join(instance.log.read_text()[-1500:] for instance in self.instances)
 
-    def late_arrivals(self, told_at: float) -> dict[str, int]:
-        """Requests that the drained server got past the grace, by the process that sent them."""
-        last = told_at + DRAIN_GRACE + SOCKET_SLACK
-        late = (a for a in self.records.arrivals if a.server == self.drained.name and a.at > last)
+    def late_arrivals(self, in_force_at: float) -> dict[str, int]:
+        """Count the requests that the drained server received after the drain grace, by instance.
+
+        The grace begins at `in_force_at`, when the change of its status is in force.
+        """
+        limit = in_force_at + DRAIN_GRACE + SOCKET_SLACK
+        late = (
+            arrival
+            for arrival in self.records.arrivals
+            if arrival.server == self.drained.name and arrival.at > limit
+        )
         return dict(Counter(arrival.instance for arrival in late))
--- a/tests/incidents/test_system_calls.py
+++ b/tests/incidents/test_system_calls.py
@@ -1,6 +1,7 @@
-"""System calls that fail, are interrupted, or do a part of what they were asked, drawn from a seed.
+"""Tests with system calls that fail, are interrupted, or transfer a part of the data, at random by a seed.
 
-The shim stands where the loop's driver calls the system: both ends of every connection of the stage go through it.
+The shim wraps the sockets and the poller of the loop's driver: both ends of every connection of the tested
+instance go through it.
 """
 
 from __future__ import annotations
@@ -17,8 +18,7 @@
 
 import pytest
 from platform_configuration import SETTINGS, write_configuration
-from platform_rig import PlatformRig
-from platform_rig import encode_client_request as client_request
+from platform_rig import PlatformRig, encode_client_request
 from rig import ScriptedServer, answers
 
 from stepsail.http import Request, ServerConnection, encode_response
@@ -28,7 +28,7 @@
 from stepsail.standins.instances import free_address
 
 ROOT = Path(__file__).parents[2]
-PASSING = {
+TRANSIENT_ERRORS = {
     "recv": (errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS),
     "send": (errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS),
     "accept": (errno.EINTR, errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EHOSTUNREACH),
@@ -36,25 +36,26 @@
     "close": (errno.EINTR, errno.EIO),
     "poll": (errno.EINTR, errno.ENOMEM),
 }
-ENDING = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EPIPE)
-RATE = 0.2  # share of calls that fail or are short
+CONNECTION_ERRORS = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EPIPE)
+FAULT_RATE = 0.2  # share of calls that fail or transfer only a part
 
 
 class Shim:
-    """Draws what becomes of each call, and counts the faults by call and error."""
+    """Draws at random which calls fail or are shortened, and counts the failures by call and error."""
 
     def __init__(self, seed: int) -> None:
-        self.draw, self.seen = random.Random(seed), dict[tuple[str, int], int]()
+        self.random, self.failures = random.Random(seed), dict[tuple[str, int], int]()
 
-    def fault(self, call: str) -> None:
-        """Raises OSError, or does nothing."""
-        if self.draw.random() < RATE:
-            number = self.draw.choice(PASSING[call])
-            self.seen[call, number] = self.seen.get((call, number), 0) + 1
-            raise OSError(number, errno.errorcode[number])
+    def maybe_fail(self, call: str) -> None:
+        """Raise an OSError that `call` may raise, or do nothing."""
+        if self.random.random() < FAULT_RATE:
+            error_number = self.random.choice(TRANSIENT_ERRORS[call])
+            self.failures[call, error_number] = self.failures.get((call, error_number), 0) + 1
+            raise OSError(error_number, errno.errorcode[error_number])
 
-    def size(self, most: int) -> int:
-        return self.draw.randint(1, min(most, 40)) if self.draw.random() < RATE else most
+    def draw_size(self, max_size: int) -> int:
+        """Return how many bytes a call transfers."""
+        return self.random.randint(1, min(max_size, 40)) if self.random.random() < FAULT_RATE else max_size
 
 
 class FaultySocket:
@@ -63,37 +64,39 @@
     def __init__(self, real: Any, shim: Shim) -> None:
         self.real, self.shim = real, shim
 
-    def recv(self, most: int) -> bytes:
-        self.shim.fault("recv")
-        return bytes(self.real.recv(self.shim.size(most)))
+    def recv(self, max_size: int) -> bytes:
+        self.shim.maybe_fail("recv")
+        return bytes(self.real.recv(self.shim.draw_size(max_size)))
 
     def send(self, data: Any) -> int:
-        self.shim.fault("send")
-        return int(self.real.send(memoryview(data)[: self.shim.size(len(data))]))
+        self.shim.maybe_fail("send")
+        return int(self.real.send(memoryview(data)[: self.shim.draw_size(len(data))]))
 
     def accept(self) -> tuple[Any, Any]:
-        self.shim.fault("accept")
-        taken, peer = self.real.accept()
-        return FaultySocket(taken, self.shim), peer
+        self.shim.maybe_fail("accept")
+        accepted, peer = self.real.accept()
+        return FaultySocket(accepted, self.shim), peer
 
-    def setsockopt(self, *rest: Any) -> None:
-        self.shim.fault("setsockopt")
-        self.real.setsockopt(*rest)
+    def setsockopt(self, *arguments: Any) -> None:
+        self.shim.maybe_fail("setsockopt")
+        self.real.setsockopt(*arguments)
 
     def close(self) -> None:
         self.real.close()
-        self.shim.fault("close")
+        self.shim.maybe_fail("close")
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.real, name)
 
 
 class FaultyPoller:
+    """A poller whose calls go through the shim."""
+
     def __init__(self, real: Any, shim: Shim) -> None:
         self.real, self.shim = real, shim
 
     def poll(self, timeout: float | None) -> Any:
-        self.shim.fault("poll")
+        self.shim.maybe_fail("poll")
         return self.real.poll(timeout)
 
     def __getattr__(self, name: str) -> Any:
@@ -102,96 +105,108 @@
 
 @pytest.fixture
 def shim(monkeypatch: pytest.MonkeyPatch, request: pytest.FixtureRequest) -> Shim:
-    found = Shim(request.param)
-    plain_port, plain_driver = SocketPort.__init__, PollDriver.__init__
+    shim = Shim(request.param)
+    init_port, init_driver = SocketPort.__init__, PollDriver.__init__
 
-    def port(self: SocketPort, sock: socket.socket) -> None:
-        plain_port(self, sock)
-        self.sock = sock if isinstance(sock, FaultySocket) else FaultySocket(sock, found)  # type: ignore[assignment]
+    def init_faulty_port(self: SocketPort, sock: socket.socket) -> None:
+        init_port(self, sock)
+        self.sock = sock if isinstance(sock, FaultySocket) else FaultySocket(sock, shim)  # type: ignore[assignment]
 
-    def driver(self: PollDriver) -> None:
-        plain_driver(self)
-        self.poller = FaultyPoller(self.poller, found)  # type: ignore[assignment]
+    def init_faulty_driver(self: PollDriver) -> None:
+        init_driver(self)
+        self.poller = FaultyPoller(self.poller, shim)  # type: ignore[assignment]
 
-    monkeypatch.setattr(SocketPort, "__init__", port)
-    monkeypatch.setattr(PollDriver, "__init__", driver)
-    return found
+    monkeypatch.setattr(SocketPort, "__init__", init_faulty_port)
+    monkeypatch.setattr(PollDriver, "__init__", init_faulty_driver)
+    return shim
 
 
-CROWD, FEW = 60, 4  # requests at once: a crowd that has to wait, and what the first window lets through
-PLENTY = 20_000  # ms that each of a crowd has: it is not shed, however slow the machine
+# Requests at once: so many that some have to wait for admission, and as many as the initial window admits.
+MANY_REQUESTS, FEW_REQUESTS = 60, 4
+# Time-out in ms of each of many requests: so long that none of them is shed on a slow machine.
+LONG_TIMEOUT_MS = 20_000
 
 
 @pytest.mark.parametrize("shim", range(6), indirect=True)
-@pytest.mark.parametrize(("at_once", "left"), [(CROWD, PLENTY), (FEW, 1400)])
+@pytest.mark.parametrize(
+    ("concurrency", "timeout_ms"), [(MANY_REQUESTS, LONG_TIMEOUT_MS), (FEW_REQUESTS, 1400)]
+)
 def test_transient_system_call_errors_cost_no_request_its_response(
-    tmp_path: Path, shim: Shim, at_once: int, left: int
+    tmp_path: Path, shim: Shim, concurrency: int, timeout_ms: int
 ) -> None:
-    # A crowd with the usual time was shed on a slow machine, which is right and no fault of a call.
-    lanes = [dict(lane, PromiseMs=float(left), DeadlineMs=float(left)) for lane in SETTINGS["Lanes"]]
+    # With the usual time-out, many requests at once were shed on a slow machine: this is correct behavior,
+    # and not caused by a system call.
+    lanes = [
+        dict(lane, PromiseMs=float(timeout_ms), DeadlineMs=float(timeout_ms)) for lane in SETTINGS["Lanes"]
+    ]
 
     def test(rig: PlatformRig) -> None:
         rig.wait_until(lambda: rig.application.discovery.is_list_usable())
 
-        def ask(number: int) -> Any:
+        def send_request(number: int) -> Any:
             return rig.send_request(
-                "/record", "POST", f"m{number}", left, None, b"x" * 300, idempotency_key=f"k{number}"
+                "/record", "POST", f"m{number}", timeout_ms, None, b"x" * 300, idempotency_key=f"k{number}"
             )
 
-        got = []
-        for first in range(0, CROWD, at_once):
-            tasks = [rig.loop.spawn(ask, first + number) for number in range(at_once)]
-            got += [task.join(4.0) for task in tasks]
-        assert [(answer.status, answer.body) for answer in got] == [(200, b"ok")] * CROWD
-        seen = [asked.header(b"x-call-id") for box in rig.servers for asked in box.seen]
-        assert len(seen) == len(set(seen)) == CROWD  # no attempt was made twice
-        assert len(shim.seen) > 12
+        responses = []
+        for first in range(0, MANY_REQUESTS, concurrency):
+            tasks = [rig.loop.spawn(send_request, first + number) for number in range(concurrency)]
+            responses += [task.join(4.0) for task in tasks]
+        assert [(response.status, response.body) for response in responses] == [(200, b"ok")] * MANY_REQUESTS
+        request_ids = [request.header(b"x-call-id") for server in rig.servers for request in server.seen]
+        # No request was sent to a server twice.
+        assert len(request_ids) == len(set(request_ids)) == MANY_REQUESTS
+        assert len(shim.failures) > 12
 
-    changed = {"settings": SETTINGS | {"Lanes": lanes}} if at_once == CROWD else {}
-    PlatformRig(tmp_path, test, [answers()] * 2, **changed)
+    overrides = {"settings": SETTINGS | {"Lanes": lanes}} if concurrency == MANY_REQUESTS else {}
+    PlatformRig(tmp_path, test, [answers()] * 2, **overrides)
 
 
-def spawned(rig: PlatformRig, number: int) -> Any:
+def send_keyed_request(rig: PlatformRig, number: int) -> Any:
     return rig.send_request("/record", "POST", f"e{number}", 900, None, b"{}", idempotency_key=f"k{number}")
 
 
-@pytest.mark.parametrize("number", ENDING)
+@pytest.mark.parametrize("error_number", CONNECTION_ERRORS)
 def test_read_error_that_ends_a_connection_counts_as_may_have_run(
-    tmp_path: Path, number: int, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, error_number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A keyed request goes again to its own zone and window alone, and is never called harmless to send again.
+    # A request with an idempotency key is retried only in its zone and within the key window, and the
+    # response never invites the client to send it again.
     def test(rig: PlatformRig) -> None:
         rig.wait_until(lambda: rig.application.discovery.is_list_usable())
-        raw_client, server = Stream.read, rig.servers[0].listener.address
+        read, server = Stream.read, rig.servers[0].listener.address
 
-        def broken(stream: Stream, *rest: Any) -> bytes:
+        def failing_read(stream: Stream, *arguments: Any) -> bytes:
             if stream.peer == server:
-                raise OSError(number, errno.errorcode[number])
-            return raw_client(stream, *rest)
+                raise OSError(error_number, errno.errorcode[error_number])
+            return read(stream, *arguments)
 
-        monkeypatch.setattr(Stream, "read", broken)
-        answer = spawned(rig, number)
-        assert answer.status in (502, 504) and answer.header(b"retry-after") is None and rig.servers[0].seen
+        monkeypatch.setattr(Stream, "read", failing_read)
+        response = send_keyed_request(rig, error_number)
+        assert (
+            response.status in (502, 504) and response.header(b"retry-after") is None and rig.servers[0].seen
+        )
 
     PlatformRig(tmp_path, test, [answers()])
 
 
 def test_truncated_response_is_not_forwarded(tmp_path: Path) -> None:
-    def half(
-        box: ScriptedServer, stream: Stream, asked: Request, connection: ServerConnection
+    def truncate_response(
+        server: ScriptedServer, stream: Stream, request: Request, connection: ServerConnection
     ) -> bytes | None:
         stream.write(encode_response(200, [], b"a long answer")[:-4], 1.0)
         return None
 
     def test(rig: PlatformRig) -> None:
         rig.wait_until(lambda: rig.application.discovery.is_list_usable())
-        assert spawned(rig, 1).status in (502, 504)
+        assert send_keyed_request(rig, 1).status in (502, 504)
 
-    PlatformRig(tmp_path, test, [half])
+    PlatformRig(tmp_path, test, [truncate_response])
 
 
 def test_unwritable_log_costs_no_response(tmp_path: Path) -> None:
-    # Each line fails with ENOSPC; a request that is refused writes one, and gets its answer all the same.
+    # Writing a log line fails with ENOSPC; a rejected request logs a line, and must get its response
+    # nevertheless.
     listen = free_address()
     environ = write_configuration(
         tmp_path,
@@ -200,41 +215,41 @@
         known={"index": 1, "snapshot": True, "endpoints": []},
     )
     with open("/dev/full", "wb") as full:
-        one = subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-m", "stepsail.platform"],
             cwd=ROOT,
             stderr=full,
             env={"PATH": "/usr/bin:/bin"} | environ,
         )
     try:
-        said, asked = b"", 0
-        while not said.startswith(b"HTTP/1.1 503") and asked < 100:
-            asked += 1
+        response, request_count = b"", 0
+        while not response.startswith(b"HTTP/1.1 503") and request_count < 100:
+            request_count += 1
             time.sleep(0.05)
             try:
                 with socket.create_connection(listen, 1.0) as client:
-                    client.sendall(client_request(f"a{asked}"))
-                    said = client.recv(1000)
+                    client.sendall(encode_client_request(f"a{request_count}"))
+                    response = client.recv(1000)
             except ConnectionRefusedError:
                 continue
-        assert said.startswith(b"HTTP/1.1 503") and one.poll() is None
-        one.send_signal(signal.SIGTERM)
-        assert one.wait(10) == 0
+        assert response.startswith(b"HTTP/1.1 503") and process.poll() is None
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(10) == 0
     finally:
-        one.kill()
-        one.wait()
+        process.kill()
+        process.wait()
 
 
-def test_start_waits_for_its_address_and_for_a_whole_configuration(tmp_path: Path) -> None:
+def test_start_waits_for_its_address_and_for_a_complete_configuration(tmp_path: Path) -> None:
     listen = free_address()
-    holder = socket.create_server(listen)
+    blocking_socket = socket.create_server(listen)
     environ = write_configuration(
         tmp_path, listen="{}:{}".format(*listen), known={"index": 1, "snapshot": True, "endpoints": []}
     )
-    whole = (tmp_path / "config.json").read_bytes()
-    (tmp_path / "config.json").write_bytes(whole[:40])
+    complete_file = (tmp_path / "config.json").read_bytes()
+    (tmp_path / "config.json").write_bytes(complete_file[:40])
     with (tmp_path / "log").open("wb") as log:
-        one = subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-m", "stepsail.platform"],
             cwd=ROOT,
             stderr=log,
@@ -242,20 +257,20 @@
         )
     try:
         time.sleep(0.5)
-        (tmp_path / "config.json").write_bytes(whole)
-        end = time.monotonic() + 5.0
+        (tmp_path / "config.json").write_bytes(complete_file)
+        deadline = time.monotonic() + 5.0
         while b"listen_failed" not in (tmp_path / "log").read_bytes():
-            assert time.monotonic() < end and one.poll() is None, (tmp_path / "log").read_text()
+            assert time.monotonic() < deadline and process.poll() is None, (tmp_path / "log").read_text()
             time.sleep(0.02)
-        holder.close()
+        blocking_socket.close()
         while True:
-            assert time.monotonic() < end and one.poll() is None, (tmp_path / "log").read_text()
+            assert time.monotonic() < deadline and process.poll() is None, (tmp_path / "log").read_text()
             try:
                 socket.create_connection(listen, 1.0).close()
                 break
             except ConnectionRefusedError:
                 time.sleep(0.02)
     finally:
-        holder.close()
-        one.kill()
-        one.wait()
+        blocking_socket.close()
+        process.kill()
+        process.wait()
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -58,7 +58,7 @@
 
 
 def endpoint_record(server: ScriptedServer, **overrides: Any) -> dict[str, Any]:
-    """Return a server's record for a list of discovery, with `overrides` in place of its fields."""
+    """Return a server's record for an endpoint list, with `overrides` in place of its fields."""
     return {
         "name": "s-" + server.address.split(":")[1],
         "address": server.address,
@@ -88,7 +88,7 @@
         self.folder = folder
         self.test = test
         self.unix_offset = 0.0  # Unix time minus the loop's time, in seconds
-        self.loop = Loop(self.driver, self.log._line)
+        self.loop = Loop(self.driver, self.log._record)
         self.scripts = scripts
         self.overrides = overrides
         try:
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -173,7 +173,7 @@
         server.address = "{}:{}".format(*raw_listener.address)
         rig.servers[:] = [server]
         rig.loop.sleep(0.15)
-        response = rig.request("POST", "/pay", bytes(8 << 20), within=2.0)
+        response = rig.request("POST", "/pay", bytes(8 << 20), timeout=2.0)
         assert (response.status, response.body) == (200, b"early")
         upstream = rig.application.upstream_pool.upstream(server.address.encode())
         assert upstream.open_connections == 0 and not upstream.idle
@@ -185,7 +185,7 @@
 def test_hung_server_fails_a_non_idempotent_request_within_the_client_timeout(tmp_path: Path) -> None:
     def test(rig: Rig) -> None:
         start = rig.loop.now()
-        response = rig.request("POST", "/pay", b"{}", left=0.5)
+        response = rig.request("POST", "/pay", b"{}", time_left=0.5)
         assert response.status == 504 and rig.loop.now() - start < 0.5
         assert rig.requests_seen() == 1
 
--- a/tests/proxy/test_audit_trail.py
+++ b/tests/proxy/test_audit_trail.py
@@ -74,7 +74,7 @@
         assert rig.request("GET", "/look").status == 200
         assert rig.loop.now() - start >= 0.24 and rig.loop.rounds - rounds_before > 5
         with pytest.raises(ConnectionResetError):  # its deadline passes before the response is recorded
-            rig.request("POST", "/pay", b"{}", left=0.2)
+            rig.request("POST", "/pay", b"{}", time_left=0.2)
         assert "response_not_recorded" in rig.log.events()
 
     Rig(tmp_path, test, [answers()], TRAIL_SETTINGS)
@@ -171,4 +171,4 @@
         )
         assert {entry["build"] for entry in entries} == {2}
 
-    Rig(tmp_path, test, [answers(), answers()], TRAIL_SETTINGS, window="500ms")
+    Rig(tmp_path, test, [answers(), answers()], TRAIL_SETTINGS, exposure_window="500ms")
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -252,7 +252,7 @@
             original_attempt_ended(in_flight, *rest)
 
         host.attempt_ended = delay_attempt_end  # type: ignore[method-assign, assignment]
-        answer = rig.request("GET", "/look", left=0.3)
+        answer = rig.request("GET", "/look", time_left=0.3)
         assert (answer.status, answer.body) == (200, b"ok") and not rig.application.host.in_flight
 
     Rig(tmp_path, test, [answers()])
@@ -358,7 +358,7 @@
 
         rig.application.host.router.accept_request = raise_error  # type: ignore[method-assign, assignment]
         start = rig.loop.now()
-        answer = rig.request("POST", "/pay", b"{}", left=0.4)
+        answer = rig.request("POST", "/pay", b"{}", time_left=0.4)
         assert answer.status == 504 and rig.loop.now() - start <= 0.45
         assert {"router_failed", "answer_forced"} <= set(rig.log.events())
 
--- a/tests/proxy/test_migrated_settings.py
+++ b/tests/proxy/test_migrated_settings.py
@@ -22,7 +22,7 @@
     def start(self) -> None:
         migration = migrate_file(self.folder / "umpire.conf", self.folder, DECISIONS)
         write_settings(self.folder / "moved.conf", migration.text, True)
-        self.file = self.folder / "moved.conf"
+        self.settings_file = self.folder / "moved.conf"
         super().start()
 
 
@@ -70,7 +70,11 @@
 
     build_1_counts: dict[str, int] = {}
     MigratedRig(
-        tmp_path, test, [answers()] * 4, "door {\n    subject-secret 0123456789abcdef\n}", window="1s"
+        tmp_path,
+        test,
+        [answers()] * 4,
+        "door {\n    subject-secret 0123456789abcdef\n}",
+        exposure_window="1s",
     )
 
 
@@ -79,7 +83,7 @@
 
     def test(rig: Rig) -> None:
         drain_times = []
-        list_endpoints = rig._list
+        list_endpoints = rig._serve_endpoint_list
 
         def list_and_note_drain(query: dict[str, str]) -> dict[str, object]:
             endpoint_list = list_endpoints(query)
@@ -87,7 +91,7 @@
                 drain_times.append(rig.loop.now())
             return endpoint_list
 
-        rig._list = list_and_note_drain  # type: ignore[method-assign]
+        rig._serve_endpoint_list = list_and_note_drain  # type: ignore[method-assign]
         for index in range(120):
             if index == 40:
                 rig.servers[0].state = "draining"
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,7 @@
-"""One instance on a loop with scripted servers, release control and discovery, all on loopback in this process."""
+"""Runs one instance on an event loop with scripted servers, release control and discovery.
+
+All of them run on loopback in this process.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 from stepsail.standins.instances import free_address
 from stepsail.standins.service import Service
 
-SITE = """
+SETTINGS_TEXT = """
 zones here there
 zone here
 product look {
@@ -61,54 +64,58 @@
     stage 100% cap 1
 }
 """
-LARGE = 64 << 20
+MAX_BODY_BYTES = 64 << 20
 Script = Callable[["ScriptedServer", Stream, Request, ServerConnection], bytes | None]
 
 
 class RecordedLog(list[tuple[str, dict[str, Any]]]):
-    """A log that keeps its events."""
+    """A log that keeps its events in a list."""
 
-    def _line(self, event: str, **fields: Any) -> None:
+    def _record(self, event: str, **fields: Any) -> None:
         self.append((event, fields))
 
-    debug = info = warning = error = _line
+    debug = info = warning = error = _record
 
     def events(self) -> list[str]:
         return [event for event, _ in self]
 
 
 class ScriptedServer:
-    """A server that does what its script says; the script gives the response's bytes, or None to hang up."""
+    """A server whose script returns the response to a request as bytes, or None to close the connection."""
 
     def __init__(
         self, loop: Loop, script: Script, build: int = 1, zone: str = "here", number: int = 99
     ) -> None:
         self.loop, self.script, self.build, self.zone, self.state = loop, script, build, zone, "ready"
         self.seen: list[Request] = []
-        # An address of its own, so that the order of addresses does not hang on which ports are free.
+        # A separate IP address for each server: the order of addresses does not depend on which ports are
+        # free.
         self.listener = Listener(loop, (f"127.0.0.{2 + number}", 0), 1000)
         self.address = "{}:{}".format(*self.listener.address)
         loop.spawn(self.listener.serve, self._serve, "server", name="server")
 
     def _serve(self, stream: Stream) -> None:
         connection = ServerConnection(
-            self.loop, stream, ConnectionLimits(body_bytes=LARGE, buffered_bytes=32768)
+            self.loop, stream, ConnectionLimits(body_bytes=MAX_BODY_BYTES, buffered_bytes=32768)
         )
         while (request := connection.next()) is not None:
             self.seen.append(request)
-            answer = self.script(self, stream, request, connection)
-            if answer is None:
+            response = self.script(self, stream, request, connection)
+            if response is None:
                 return
-            stream.write(answer, 2.0)
+            stream.write(response, 2.0)
             if request.body_stream and not request.body_stream.done:
                 return
 
 
 def answers(status: int = 200, body: bytes = b"ok", headers: tuple[tuple[bytes, bytes], ...] = ()) -> Script:
+    """Return the script of a server that responds to each request at once."""
     return lambda server, stream, request, connection: encode_response(status, headers, body)
 
 
 def hangs(seconds: float = 30.0) -> Script:
+    """Return the script of a server that delays each response."""
+
     def script(
         server: ScriptedServer, stream: Stream, request: Request, connection: ServerConnection
     ) -> bytes | None:
@@ -121,6 +128,7 @@
 def hangs_up(
     server: ScriptedServer, stream: Stream, request: Request, connection: ServerConnection
 ) -> bytes | None:
+    """Serve as a script that closes the connection without a response."""
     return None
 
 
@@ -132,15 +140,20 @@
         folder: Path,
         test: Callable[[Rig], None],
         scripts: list[Script],
-        extra: str = "",
-        window: str = "4s",
+        extra_settings: str = "",
+        exposure_window: str = "4s",
         instances: int = 1,
         simulated: bool = False,
     ) -> None:
         self.log, self.folder = RecordedLog(), folder
-        self.scripts, self.extra, self.test, self.window = scripts, extra, test, window
+        self.scripts, self.extra_settings, self.test, self.exposure_window = (
+            scripts,
+            extra_settings,
+            test,
+            exposure_window,
+        )
         self.instances = instances
-        self.file = folder / "umpire.conf"
+        self.settings_file = folder / "umpire.conf"
         self.state = {"build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age": 100.0}
         if simulated:
             self._run_in_virtual_time()
@@ -149,7 +162,7 @@
 
     def _run_on_sockets(self) -> None:
         driver = PollDriver()
-        self.loop = Loop(driver, self.log._line)
+        self.loop = Loop(driver, self.log._record)
         try:
             self.loop.run(self._main)
         finally:
@@ -163,18 +176,20 @@
             self.loop = loop
             loop.run(self._main)
 
-        simulator.run(SimulatedProcess(simulator, driver, "rig", main, self.log._line))
+        simulator.run(SimulatedProcess(simulator, driver, "rig", main, self.log._record))
 
     def _main(self) -> None:
         self.servers = [
-            ScriptedServer(self.loop, script, number=at) for at, script in enumerate(self.scripts)
+            ScriptedServer(self.loop, script, number=number) for number, script in enumerate(self.scripts)
         ]
         self.release_control = Service(
-            self.loop, "conveyor", lambda path, query, body, stream: self._news(query)
+            self.loop, "conveyor", lambda path, query, body, stream: self._serve_release_state(query)
+        )
+        self.discovery = Service(
+            self.loop, "roster", lambda path, query, body, stream: self._serve_endpoint_list(query)
         )
-        self.discovery = Service(self.loop, "roster", lambda path, query, body, stream: self._list(query))
         self.listen = free_address()
-        self.file.write_text(
+        self.settings_file.write_text(
             "\n".join(
                 (
                     f"umpire 0 of {self.instances}",
@@ -182,8 +197,8 @@
                     "listen {}:{}".format(*self.listen),
                     "conveyor {}:{}".format(*self.release_control.address),
                     "roster {}:{} pushed keep kept.json".format(*self.discovery.address),
-                    SITE.replace("cap 1\n", f"cap 1\n    window {self.window}\n"),
-                    self.extra,
+                    SETTINGS_TEXT.replace("cap 1\n", f"cap 1\n    window {self.exposure_window}\n"),
+                    self.extra_settings,
                 )
             )
         )
@@ -191,27 +206,33 @@
         self.test(self)
 
     def start(self) -> None:
-        self.application = Application(self.loop, load_settings(self.file), Router, self.log)
+        self.application = Application(self.loop, load_settings(self.settings_file), Router, self.log)
         self.application_task = self.loop.spawn(self.application.run, False, name="instance")
-        until = self.loop.now() + 5
-        while not self.application.listener.state.ready and self.loop.now() < until:
+        deadline = self.loop.now() + 5
+        while not self.application.listener.state.ready and self.loop.now() < deadline:
             self.loop.sleep(0.005)
         assert self.application.listener.state.ready, self.log
 
-    def _news(self, query: dict[str, str]) -> dict[str, Any]:
+    def _serve_release_state(self, query: dict[str, str]) -> dict[str, Any]:
         if int(query.get("after", 0)):
             self.loop.sleep(0.2)
         return {"seq": 1, "state": self.state}
 
-    def _list(self, query: dict[str, str]) -> dict[str, Any]:
+    def _serve_endpoint_list(self, query: dict[str, str]) -> dict[str, Any]:
         if int(query.get("after", 0)):
             self.loop.sleep(0.05)
         return {
             "seq": int(query.get("after", 0)) + 1,
             "whole": True,
             "servers": [
-                {"address": b.address, "zone": b.zone, "build": b.build, "state": b.state, "start": "first"}
-                for b in self.servers
+                {
+                    "address": server.address,
+                    "zone": server.zone,
+                    "build": server.build,
+                    "state": server.state,
+                    "start": "first",
+                }
+                for server in self.servers
             ],
         }
 
@@ -219,7 +240,7 @@
         return Stream.connect(self.loop, self.listen, 1.0)
 
     def plain_socket(self) -> socket.socket:
-        """A blocking socket: for clients with bad manners."""
+        """Connect a blocking socket, for clients that violate the protocol."""
         return socket.create_connection(self.listen, 1.0)
 
     def request(
@@ -227,28 +248,30 @@
         method: str,
         path: str,
         body: bytes = b"",
-        left: float | None = None,
-        within: float = 3.0,
+        time_left: float | None = None,
+        timeout: float = 3.0,
         stream: Stream | None = None,
         **headers: str,
     ) -> Response:
-        """One request on a connection of its own."""
-        own = stream or self.connect()
-        named = [(b"host", b"x")] + [(k.replace("_", "-").encode(), v.encode()) for k, v in headers.items()]
-        if left is not None:
-            named.append((b"request-timeout", b"%.3f" % left))
+        """Send a request, on a new connection unless `stream` is given, and return the response."""
+        connection = stream or self.connect()
+        all_headers = [(b"host", b"x")] + [
+            (name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()
+        ]
+        if time_left is not None:
+            all_headers.append((b"request-timeout", b"%.3f" % time_left))
         try:
-            data = encode_request(method.encode(), path.encode(), named, body)
-            return ClientConnection(self.loop, own, ConnectionLimits(body_bytes=LARGE)).exchange(
-                data, self.loop.now() + within, Progress()
-            )
+            data = encode_request(method.encode(), path.encode(), all_headers, body)
+            return ClientConnection(
+                self.loop, connection, ConnectionLimits(body_bytes=MAX_BODY_BYTES)
+            ).exchange(data, self.loop.now() + timeout, Progress())
         finally:
             if stream is None:
-                own.close()
+                connection.close()
 
     def requests_seen(self) -> int:
-        return sum(len(b.seen) for b in self.servers)
+        return sum(len(server.seen) for server in self.servers)
 
 
-def json_body(answer: Response) -> Any:
-    return msgspec.json.decode(answer.body)
+def json_body(response: Response) -> Any:
+    return msgspec.json.decode(response.body)
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""Steps that tests of the decisions share: histories at a fake host, and outcomes filled in by hand."""
+"""Provides steps that the tests of the decisions share, for a fake host and for latency histograms."""
 
 from __future__ import annotations
 
@@ -14,31 +14,37 @@
 from stepsail.decisions.request import Request
 
 
-def outcomes(host: FakeHost, server: int, outcome: AttemptOutcome, count: int) -> None:
-    """Ends relays at one server, each a tenth of a second after its start."""
-    handle = host.servers[server]
+def send_requests(host: FakeHost, server: int, outcome: AttemptOutcome, count: int) -> None:
+    """Send requests, and end the attempts on one server with an outcome.
+
+    Each of these attempts has a latency of 0.1 s. Attempts on other servers end as served.
+    """
+    router_server = host.servers[server]
     for _ in range(count):
         host.router.admission.window = 9.0
         request = host.accept(0)
-        if not request.attempts or request.attempts[-1].server is not handle:
+        if not request.attempts or request.attempts[-1].server is not router_server:
             if request.attempts:
                 request.attempt_ended(0, AttemptOutcome.SERVED, True, 0.1, ())
             continue
         request.attempt_ended(0, outcome, outcome is AttemptOutcome.SERVED, 0.1, ())
-        for at in range(1, len(request.attempts)):
-            if not request.attempts[at].ended:
-                request.attempt_ended(at, AttemptOutcome.SERVED, True, 0.1, ())
+        for number in range(1, len(request.attempts)):
+            if not request.attempts[number].ended:
+                request.attempt_ended(number, AttemptOutcome.SERVED, True, 0.1, ())
         host.advance(0.1)
 
 
-def filled(*sides: tuple[dict[int, LatencyHistogram], int], count: int = 300, product: int = 0) -> None:
-    """Add as many outcomes in one place to each side."""
-    for side, place in sides:
+def fill_histograms(
+    *histograms_and_bins: tuple[dict[int, LatencyHistogram], int], count: int = 300, request_class: int = 0
+) -> None:
+    """Add `count` attempts of one request class to one bin of each histogram."""
+    for histograms, bin_index in histograms_and_bins:
         for _ in range(count):
-            side.setdefault(product, LatencyHistogram()).add(place)
+            histograms.setdefault(request_class, LatencyHistogram()).add(bin_index)
 
 
-def on_trial(builds: tuple[int, ...]) -> FakeHost:
+def canary_host(builds: tuple[int, ...]) -> FakeHost:
+    """Return a host with these builds on its servers, and build 2 as the canary."""
     host = FakeHost(
         builds=builds, exposure_limits=(1.0, 1.0), stage_shares=(0.5, 1.0), idempotent_only_stages=0
     )
@@ -46,15 +52,16 @@
     return host
 
 
-def keyed(host: FakeHost, key: int) -> Request:
-    return host.router.accept_request(host.number(), 0, 0, None, host.clock + 3.0, key, False)
+def accept_with_key(host: FakeHost, key: int) -> Request:
+    return host.router.accept_request(host.next_request_number(), 0, 0, None, host.clock + 3.0, key, False)
 
 
-def homes_of(host: FakeHost, keys: Sequence[int]) -> list[bytes]:
-    found = []
+def servers_of_keys(host: FakeHost, keys: Sequence[int]) -> list[bytes]:
+    """Send one request with each key, and return the address of the server that each was sent to."""
+    addresses = []
     for key in keys:
-        one = keyed(host, key)
-        found.append(one.attempts[0].server.address)
-        one.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, (0.0,))
+        request = accept_with_key(host, key)
+        addresses.append(request.attempts[0].server.address)
+        request.attempt_ended(0, AttemptOutcome.SERVED, True, 0.05, (0.0,))
         host.clock += 0.2
-    return found
+    return addresses
--- a/tests/settings/test_migration.py
+++ b/tests/settings/test_migration.py
@@ -7,17 +7,17 @@
 
 import pytest
 from click.testing import CliRunner, Result
-from helpers import GOOD
+from helpers import VALID_SETTINGS
 
 from stepsail.cli.main import main
 from stepsail.settings import load_settings
 
 INVALID_FILES = [
     ("umpire 1 of", "umpire.conf:1:1"),
-    ("targte 3s\n" + GOOD, "unknown setting 'targte'"),
-    (GOOD.replace("31%", "lots"), "'lots' is not a share"),
-    (GOOD + "seed 1\nseed 2\n", "'seed' is given twice"),
-    (GOOD + "include gone.conf\n", "cannot read"),
+    ("targte 3s\n" + VALID_SETTINGS, "unknown setting 'targte'"),
+    (VALID_SETTINGS.replace("31%", "lots"), "'lots' is not a share"),
+    (VALID_SETTINGS + "seed 1\nseed 2\n", "'seed' is given twice"),
+    (VALID_SETTINGS + "include gone.conf\n", "cannot read"),
 ]
 
 
@@ -25,13 +25,13 @@
     return CliRunner(mix_stderr=False).invoke(main, ["migrate", *map(str, arguments)])
 
 
-def write_old_file(folder: Path, text: str = GOOD) -> Path:
+def write_old_file(folder: Path, text: str = VALID_SETTINGS) -> Path:
     (folder / "umpire.conf").write_text(text, "utf-8")
     return folder / "umpire.conf"
 
 
 def test_migrated_file_means_the_same_and_notes_former_defaults(tmp_path: Path) -> None:
-    file, new = write_old_file(tmp_path, GOOD + "# a note\n"), tmp_path / "new.conf"
+    file, new = write_old_file(tmp_path, VALID_SETTINGS + "# a note\n"), tmp_path / "new.conf"
     result = migrate(file, "--out", new)
     assert result.exit_code == 0 and not result.stdout
     before, after = load_settings(file), load_settings(new)
@@ -42,7 +42,7 @@
     notes = result.stderr
     assert "release one-way is not set" in notes and "--one-way yes" in notes
     assert "drain-grace 0.5s" in notes and "cold-from" not in notes
-    assert f"{len((GOOD + '# a note').splitlines())}: a comment is not carried over" in notes
+    assert f"{len((VALID_SETTINGS + '# a note').splitlines())}: a comment is not carried over" in notes
 
 
 def test_decisions_are_written_and_noted(tmp_path: Path) -> None:
@@ -82,7 +82,7 @@
 
 def test_format_2_requires_settings_that_have_defaults_in_format_1(tmp_path: Path) -> None:
     result = CliRunner(mix_stderr=False).invoke(
-        main, ["check", str(write_old_file(tmp_path, "shape 2\n" + GOOD))]
+        main, ["check", str(write_old_file(tmp_path, "shape 2\n" + VALID_SETTINGS))]
     )
     assert result.exit_code == 1 and "missing in release: control, replaces" in result.stderr
 
@@ -107,7 +107,7 @@
     (tmp_path / "more.conf").write_text('tenant "north west \\"x\\"" share 50%\n')
     (tmp_path / "elsewhere").mkdir()
     new = tmp_path / "elsewhere" / "new.conf"
-    result = migrate(write_old_file(tmp_path, GOOD + "include more.conf\n"), "--out", new)
+    result = migrate(write_old_file(tmp_path, VALID_SETTINGS + "include more.conf\n"), "--out", new)
     assert load_settings(new).tenant_names == ('north west "x"',)
     assert "'last-list.json' will be relative to the folder of the new file" in result.stderr
     assert "the settings of the included file replace this line" in result.stderr
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import GOOD
+from helpers import VALID_SETTINGS
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -36,7 +36,7 @@
 
 
 def test_file_gives_the_same_router_settings_as_flat_settings(tmp_path: Path) -> None:
-    settings = load_settings(write_settings_file(tmp_path, GOOD))
+    settings = load_settings(write_settings_file(tmp_path, VALID_SETTINGS))
     expected = read_router_settings(
         parse_pairs(
             "\n".join(
@@ -92,7 +92,7 @@
 
 def test_all_errors_are_reported_at_once_with_location_and_remedy(tmp_path: Path) -> None:
     text = (
-        GOOD.replace("target 750ms", "targte 750ms")
+        VALID_SETTINGS.replace("target 750ms", "targte 750ms")
         .replace("cold-for 4.9s", "cold-for 4.9")
         .replace("umpire 1 of 3", "umpire 1 off 3")
         .replace("report answers queue", "report answers {")
@@ -127,7 +127,7 @@
     ],
 )
 def test_error_is_described(tmp_path: Path, old: str, new: str, message: str) -> None:
-    assert any(message in line for line in errors_of(tmp_path, GOOD.replace(old, new)))
+    assert any(message in line for line in errors_of(tmp_path, VALID_SETTINGS.replace(old, new)))
 
 
 def test_invalid_utf_8_is_reported_with_its_line(tmp_path: Path) -> None:
@@ -142,25 +142,28 @@
         "view 127.0.0.1:9300 reached 127.0.0.2:9400 {\n    seed 127.0.0.1:9301\n    period 250ms\n"
         "    fleet north\n}\n"
     )
-    settings = load_settings(write_settings_file(tmp_path, GOOD + view))
+    settings = load_settings(write_settings_file(tmp_path, VALID_SETTINGS + view))
     assert settings.membership == MembershipSettings(
         ("127.0.0.1", 9300), ("127.0.0.2", 9400), (("127.0.0.1", 9301),), 0.25, "north"
     )
-    assert load_settings(write_settings_file(tmp_path, GOOD)).membership is None
+    assert load_settings(write_settings_file(tmp_path, VALID_SETTINGS)).membership is None
     default_membership = load_settings(
-        write_settings_file(tmp_path, GOOD + "view 127.0.0.1:9300 {\n}\n")
+        write_settings_file(tmp_path, VALID_SETTINGS + "view 127.0.0.1:9300 {\n}\n")
     ).membership
     assert default_membership == MembershipSettings(
         ("127.0.0.1", 9300), ("127.0.0.1", 9300), (), 0.0, "stepsail"
     )
     assert any(
-        "at most 64 characters" in t for t in errors_of(tmp_path, (GOOD + view).replace("hall-b", "h" * 65))
+        "at most 64 characters" in t
+        for t in errors_of(tmp_path, (VALID_SETTINGS + view).replace("hall-b", "h" * 65))
     )
 
 
 def test_included_file_is_read_in_place_and_named_in_its_errors(tmp_path: Path) -> None:
     (tmp_path / "stages.conf").write_text("stage 5% cap 8%\nstage 2% cap 1\n")
-    text = GOOD.replace("    stage 5% cap 8.5%\n    stage 100% cap 1\n", "    include stages.conf\n")
+    text = VALID_SETTINGS.replace(
+        "    stage 5% cap 8.5%\n    stage 100% cap 1\n", "    include stages.conf\n"
+    )
     assert errors_of(tmp_path, text) == ["stages.conf:2:1: a stage is smaller than the one before it"]
 
 
@@ -180,11 +183,11 @@
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
-@given(st.integers(0, len(GOOD.splitlines()) - 1), st.text('{} ab19%."#\n', max_size=12))
+@given(st.integers(0, len(VALID_SETTINGS.splitlines()) - 1), st.text('{} ab19%."#\n', max_size=12))
 def test_file_with_a_changed_line_gives_settings_or_errors(
     tmp_path_factory: pytest.TempPathFactory, line_index: int, text: str
 ) -> None:
-    lines = GOOD.splitlines()
+    lines = VALID_SETTINGS.splitlines()
     lines[line_index] = text
     try:
         load_settings(write_settings_file(tmp_path_factory.mktemp("settings"), "\n".join(lines)))
--- a/tests/standins/test_links.py
+++ b/tests/standins/test_links.py
@@ -29,7 +29,7 @@
                 rig, LinkFaults(reset_up=fault_at) if direction == "up" else LinkFaults(reset_down=fault_at)
             )
             before = rig.requests_seen()
-            answer = rig.request("POST", "/pay", b'{"a":1}', left=1.0)
+            answer = rig.request("POST", "/pay", b'{"a":1}', time_left=1.0)
             assert rig.requests_seen() - before <= 1
             assert answer.status in (200, 502, 504) or rig.requests_seen() == before
 
@@ -53,7 +53,7 @@
     def test(rig: Rig) -> None:
         put_links_before_servers(rig, faults)
         start = rig.loop.now()
-        assert rig.request("POST", "/pay", b"{}", left=0.5).status == 504
+        assert rig.request("POST", "/pay", b"{}", time_left=0.5).status == 504
         assert rig.loop.now() - start < 0.5 and rig.requests_seen() <= 1
 
     Rig(tmp_path, test, [answers(), answers()], simulated=True)
@@ -65,7 +65,7 @@
     # client's connection instead of responding.
     def test(rig: Rig) -> None:
         put_links_before_servers(rig, faults)
-        assert rig.request("POST", "/pay", b"{}", left=0.5).status == 504
+        assert rig.request("POST", "/pay", b"{}", time_left=0.5).status == 504
         assert rig.requests_seen() <= 1
 
     Rig(tmp_path, test, [answers(), answers()])
@@ -86,7 +86,7 @@
         assert rig.request("GET", "/look").status == 200
         for link in links:
             link.cut()
-        assert rig.request("POST", "/pay", b"{}", left=0.4).status == 504
+        assert rig.request("POST", "/pay", b"{}", time_left=0.4).status == 504
         seen = rig.requests_seen()
         for link in links:
             link.heal()
@@ -109,12 +109,12 @@
         for link in links:
             link.cut(up=up, down=not up)
         assert (
-            rig.request("POST", "/pay", b"{}", left=0.4).status == 504
+            rig.request("POST", "/pay", b"{}", time_left=0.4).status == 504
         )  # the instance cannot know whether the request ran
         assert rig.requests_seen() - before == expected_runs
         links[0].cut(up=not up)  # the cut now includes the other direction: still no further request runs
         assert (
-            rig.request("POST", "/pay", b"{}", left=0.4).status == 504
+            rig.request("POST", "/pay", b"{}", time_left=0.4).status == 504
             and rig.requests_seen() - before == expected_runs
         )
 
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from recorded import recorded
+from recorded import record_history
 from textual.widgets import DataTable, Static
 
 from stepsail import decisions
@@ -15,7 +15,7 @@
 
 
 def open_cursor(folder: Path, **options: int) -> CaptureCursor:
-    recorded(folder, rounds=60, **options)
+    record_history(folder, rounds=60, **options)
     (segments,) = read_runs(folder).runs[0].contiguous_segments()
     return CaptureCursor(segments, decisions)
 
@@ -49,7 +49,7 @@
 
 
 def test_capture_that_lost_its_first_segment_is_replayed_without_differences(tmp_path: Path) -> None:
-    recorded(tmp_path, rounds=400, segment_bytes=1000)
+    record_history(tmp_path, rounds=400, segment_bytes=1000)
     files = sorted(tmp_path.glob("*.cap"))
     files[0].unlink()
     segments = next(read_runs(tmp_path).runs[0].contiguous_segments())
