--- a/stepsail/decisions/admission.py
+++ b/stepsail/decisions/admission.py
@@ -1,9 +1,9 @@
-"""Limits the number of attempts in flight, and orders the requests that wait for capacity.
+"""This module limits the attempts in flight, and orders the requests that wait for capacity.
 
 The concurrency limit is a congestion window: late answers shrink it, and answers within the latency objective
-grow it. Waiting requests are dispatched by the priority weight of their class divided by its usual latency,
-and the newest first; requests that a client has sent before come last. `Request.dispatch` sheds requests that
-cannot be answered in time.
+grow it. Waiting requests are sorted by the priority weight of their class divided by the usual latency of the
+class, the highest first; among equals, the newest request comes first. Requests that the client has sent
+before come after all others. `Request.dispatch` sheds requests that cannot be answered in time.
 """
 
 from __future__ import annotations
@@ -17,11 +17,16 @@
     from stepsail.decisions.request import Request
     from stepsail.decisions.router import Router
 
-INITIAL_WINDOW = 4.0  # attempts in flight
-MAX_WINDOW_STEP = 1.0  # largest step; an answer in time grows the window by the step divided by the window
-MIN_WINDOW_STEP = 0.5  # smallest step
-MAX_STALLED_PER_SERVER = 0.5  # attempts in flight for stalled classes and tenants, over all instances
-PRIOR_LATENCY_SHARE = 0.2  # share of the latency objective, assumed as usual latency before any is measured
+# Number of attempts that an instance may have in flight when it starts.
+INITIAL_WINDOW = 4.0
+# Largest step of the concurrency window. An answer in time grows the window by step / window.
+MAX_WINDOW_STEP = 1.0
+# Smallest step of the concurrency window. An answer in time grows the window by step / window.
+MIN_WINDOW_STEP = 0.5
+# Attempts of stalled classes and tenants that all instances together may have in flight per ready server.
+MAX_STALLED_PER_SERVER = 0.5
+# Share of a class's latency objective that is assumed as its usual latency before any latency is measured.
+PRIOR_LATENCY_SHARE = 0.2
 
 
 class Admission:
@@ -29,18 +34,20 @@
 
     def __init__(self, router: Router) -> None:
         self.router = router
-        self.window = INITIAL_WINDOW  # attempts that may be in flight
+        self.window = INITIAL_WINDOW  # number of attempts that may be in flight
         self.in_flight: list[Attempt] = []
         self.waiting: list[Request] = []
+        # Usual latency in seconds, one mean per request class, at the index of the class.
         self.usual_latency = [
             DecayingMean(PRIOR_LATENCY_SHARE * c.latency_objective) for c in router.settings.request_classes
-        ]  # s, by class index
+        ]
 
     def adjust_window(self, in_time: bool) -> None:
-        """Shrink the window after a late answer; grow it after an answer in time, if the window is in use.
+        """Shrink the window after a late answer; grow it after an answer in time.
 
-        The window is at least this instance's share of the ready servers: over all instances, one attempt for
-        each server.
+        The window grows only if about half of it or more is in use. The new window is at least the number of
+        ready servers divided by the number of instances, so that all instances together may have one attempt
+        in flight for each ready server.
         """
         floor = self.router.servers_per_instance()
         if not in_time:
@@ -52,10 +59,11 @@
     def has_capacity(self, draw: float = 0.0) -> bool:
         """Return whether the window allows another attempt.
 
-        A window below 1 allows an attempt only if the request's random draw is below the window. Attempts at
-        ejected servers don't count against the window, nor do attempts of a stalled class or tenant.
+        If the window is below 1, an attempt is allowed only if the request's random draw is below the window.
+        Attempts at ejected servers don't count against the window, nor do those of a stalled class or tenant.
         """
-        # This check comes before the loop over all attempts, which took a third of a busy instance's CPU.
+        # This check comes first so that the loop below over all attempts in flight is skipped where possible,
+        # because that loop took a third of a busy instance's CPU time.
         if max(draw, len(self.in_flight)) < self.window:
             return True
         any_stalled = self.router.stalls.any_stalled()
@@ -69,16 +77,18 @@
     def may_dispatch_stalled(self, request: Request) -> bool:
         """Return whether a request of a stalled class or tenant may be dispatched.
 
-        Those that have had an attempt may be, and a few others, to find out when the stall ends.
+        A request that has already had an attempt may be dispatched. So may a few other requests, so that the
+        router finds out when the stall ends.
         """
         stalled = sum(attempt.request.stalled for attempt in self.in_flight)
         limit = MAX_STALLED_PER_SERVER * self.router.servers_per_instance()
         return bool(request.attempts) or max(request.draw, stalled) < limit
 
     def dispatch_waiting(self, dispatch_all: bool) -> None:
-        """Dispatch waiting requests in order: with `dispatch_all` each one, else while there is capacity.
+        """Dispatch waiting requests in order of priority while the window has capacity.
 
-        A request that `Request.dispatch` can neither send nor give up goes back to the waiting ones.
+        With `dispatch_all`, every waiting request is dispatched, whatever the capacity. A request that
+        `Request.dispatch` neither sends nor gives up is put back among the waiting requests.
         """
         queue = [request for request in self.waiting if not request.closed]
         self.waiting = []
--- a/stepsail/decisions/attempt.py
+++ b/stepsail/decisions/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request, sent to one server."""
+"""This module defines an attempt: one transmission of a request to one server."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
     from stepsail.decisions.request import Request
     from stepsail.decisions.server import Server
 
-SERVER_STARTUP_TIME = 3.0  # s after a server's start during which its latencies are no evidence
+# Time in seconds after a server's start during which the server's latencies are no evidence.
+SERVER_STARTUP_TIME = 3.0
 
 
 class Attempt:
@@ -28,7 +29,7 @@
         self.may_have_run = True
 
     def overdue(self, now: float) -> bool:
-        """Return whether it is in flight past the latency objective and was not yet counted as late."""
+        """Return whether the attempt has exceeded the latency objective and is not yet counted as late."""
         return (
             not self.counted_for_stalls and now > self.sent_at + self.request.request_class.latency_objective
         )
--- a/stepsail/decisions/averages.py
+++ b/stepsail/decisions/averages.py
@@ -1,15 +1,17 @@
-"""Running statistics that several modules share: a decaying mean and a window of timestamps."""
+"""This module defines statistics that several modules share: a decaying mean and a timestamp window."""
 
 from __future__ import annotations
 
 from bisect import insort
 from collections import deque
 
-HALVING_COUNT = 16  # count of values from which the next value added halves the weight of all values
+# If a mean already holds at least this weighted number of values, adding a value halves the weight of all
+# values, including the new value.
+HALVING_COUNT = 16
 
 
 class DecayingMean:
-    """A mean in which old values lose weight; it starts from a prior that has the weight of two values."""
+    """A mean in which old values lose weight; its initial value has the weight of two added values."""
 
     def __init__(self, prior: float = 1.0) -> None:
         self.count = 2.0
@@ -32,14 +34,14 @@
     def add(self, timestamp: float) -> None:
         """Add the time of an event.
 
-        After a pause of the process, an event may be older than events that were added before it.
+        After a pause of the process, the event may be older than events that were added earlier.
         """
         if len(self) == self.maxlen:
             self.popleft()
         insort(self, timestamp)
 
     def count_since(self, start: float) -> int:
-        """Return the number of events at or after `start`, and drop all earlier events."""
+        """Return the number of events at or after the time `start`, and drop all events before `start`."""
         while self and self[0] < start:
             self.popleft()
         return len(self)
--- a/stepsail/decisions/interface.py
+++ b/stepsail/decisions/interface.py
@@ -1,9 +1,10 @@
-"""The interface between a router and its host: incoming events, outgoing commands and settings.
+"""This module defines the interface between a router and its host: events, commands and settings.
 
-A host (the proxy, or the adapter of a simulator) creates a router from the settings. For each event it calls
-a method of the router, or of a handle that the router has returned, one event at a time, and executes the
-commands that the router issues during the call. Times are fractional seconds on the host's only clock. The
-interface is one module, as host and router must agree on all of it; most lines document arguments.
+A host (the proxy, or the adapter of a simulator) creates a router from the settings. The host handles one
+event at a time. For each event, the host calls a method of the router, or of a handle that the router has
+returned, and executes the commands that the router issues during the call. Times are fractional seconds on
+the host's only clock. The interface is one module, because host and router must agree on all of it; most
+lines document arguments.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 class RejectionReason(Enum):
-    """Why a request is given up without an answer from a server."""
+    """The reason for which a request is given up without an answer from a server."""
 
     TOO_LATE = "too little of its latency objective is left"
     DEADLINE = "its deadline is near"
@@ -44,7 +45,7 @@
 
 
 class EndpointState(IntEnum):
-    """The state of a server by the endpoint list."""
+    """The state of a server according to the endpoint list."""
 
     DRAINING = 0
     READY = 1
@@ -52,7 +53,7 @@
 
 
 class Verdict(IntEnum):
-    """The verdict on the build on canary."""
+    """An instance's verdict on the build that is on canary."""
 
     NONE = 0
     PROMOTE = 1
@@ -61,7 +62,7 @@
 
 
 class ReleasePhase(IntEnum):
-    """The release phase of the newest build."""
+    """The phase of the newest build's release."""
 
     CANARY = 0
     ROLLING_BACK = 1
@@ -70,7 +71,7 @@
 
 
 class VoteReceipt(IntEnum):
-    """How release control has answered a vote."""
+    """The answer of release control to a vote on a build."""
 
     COUNTED = 0
     ERROR = 1
@@ -80,7 +81,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may be sent again after an attempt that may have run."""
+    """Whether a request may be sent again after a server may have run an attempt of it."""
 
     IDEMPOTENT = "redoable"
     IDEMPOTENCY_KEY = "labelled"
@@ -96,9 +97,10 @@
 
 
 class PromotionControl(Enum):
-    """How a stage is promoted or rolled back.
+    """The way in which it is decided whether a stage of a release is promoted or rolled back.
 
-    Any single vote decides, or the votes of a share of the instances, or a timer that votes can only stop.
+    Any single vote decides, or the votes of a certain share of the instances decide, or a timer
+    decides and votes can only stop the timer.
     """
 
     ANY_VOTE = "any"
@@ -108,17 +110,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """The service level and the retry rules of one request class. Times are in seconds.
+    """The service level and the retry rules of one request class; times are in seconds.
 
     Attributes:
-        index: Index of the class in the settings, from 0.
+        index: Index of the class in `RouterSettings.request_classes`, from 0.
         latency_objective: Time from a request's arrival within which an answer has its full weight.
-        client_timeout: Time after which clients give up.
-        priority_weight: Weight of an answer in time, relative to other classes.
-        late_weight_share: Share of that weight that an answer after the objective still has.
-        idempotency: Whether a request may be sent again after it may have run.
+        client_timeout: Time after which clients stop waiting for an answer.
+        priority_weight: Weight of an answer within the latency objective, relative to other classes.
+        late_weight_share: Share of the priority weight that an answer after the latency objective still has.
+        idempotency: Whether a request may be sent again after a server may have run it.
         deduplication_scope: Group of servers that recognise a repeated idempotency key.
-        key_window: Time from the first attempt for which servers remember an idempotency key.
+        key_window: Time for which servers remember an idempotency key, counted from the first attempt.
     """
 
     index: int
@@ -133,12 +135,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterSettings:
-    """The settings that a router is created with. Times are in seconds.
+    """The settings with which a router is created; times are in seconds.
 
     Attributes:
-        request_classes: The classes, by index.
+        request_classes: The request classes, in the order of their indices.
         instance_index: Number of this instance in the fleet, from 0.
-        instance_count: Number of instances.
+        instance_count: Number of instances in the fleet.
         zone: Number of this instance's zone.
         cross_zone_cost: Cost of an attempt at a server of another zone, as a share of the request's weight.
         health_check_cost: Cost of a health check, as a share of a request's weight.
@@ -146,32 +148,36 @@
         gossip_enabled: Whether instances may send messages to each other.
         cancel_allowed: Whether an attempt in flight may be cancelled.
         hedging_allowed: Whether a second attempt may be sent while one is in flight.
-        max_attempts: Attempts that a request may have.
+        max_attempts: Largest number of attempts that a request may have.
         max_retry_after: Longest time that a rejected client may be told to wait.
-        must_poll_endpoints: Whether the endpoint list must be polled, as discovery doesn't push it.
+        must_poll_endpoints: Whether the endpoint list must be polled, because discovery doesn't push it.
         load_report_columns: Names of the numbers in a load report, such as `q` (queue length) and `rif`
             (requests in flight).
-        load_reports_by_health_check: Whether only health checks return load reports, and answers don't.
-        drain_grace: Time after a server was told to drain from which it must get no new requests.
+        load_reports_by_health_check: Whether only health checks return load reports, and answers to requests
+            don't.
+        drain_grace: Time after the order to drain a server from which the server must get no new requests.
         slow_start_floor: Share of its full capacity that a server has when it starts.
         slow_start_duration: Time from a server's start until it has its full capacity.
-        overload_multiple: Multiple of its capacity beyond which a server in slow start fails.
+        overload_multiple: A server in slow start fails if its load exceeds this multiple of its capacity.
         idle_timeout: Time after which servers close an idle connection.
-        promotion_control: How votes decide on a stage.
-        replaces_servers: Whether servers of a new build replace old ones, rather than being added.
-        bake_time: Minimum duration of a stage.
-        stage_shares: Share of servers that run the new build, by stage.
-        exposure_limits: Share of requests that the new build may get, by stage.
-        idempotent_only_stages: Number of initial stages in which a new build gets only idempotent requests.
-        sticky_keys: Whether requests with a key that a build has answered must not go to an earlier build.
-        exposure_per_class: Whether the exposure limit applies to each class, rather than to all together.
-        burst_allowance: Attempts that a new build may get beyond its share.
-        exposure_window: Length of the sliding window of the exposure limit.
+        promotion_control: How votes decide whether a stage is promoted or rolled back.
+        replaces_servers: Whether servers of a new build replace old servers, rather than being added to them.
+        bake_time: Minimum duration of a release stage.
+        stage_shares: Share of servers that run the new build, one number per release stage.
+        exposure_limits: Share of requests that the new build may get, one number per release stage.
+        idempotent_only_stages: Number of initial release stages in which a new build gets only idempotent
+            requests.
+        sticky_keys: Whether a request must not be sent to an earlier build than the build that has answered
+            a request with the same key.
+        exposure_per_class: Whether the exposure limit applies to each request class, rather than to all
+            classes together.
+        burst_allowance: Number of attempts that a new build may get beyond its share of the requests.
+        exposure_window: Length of the sliding time window in which the exposure limit is applied.
         vote_ttl: Time after which a vote expires.
-        vote_timeout: Time after which a vote without an answer counts as lost.
-        vote_rate_limit: Votes per second that release control accepts from the fleet.
+        vote_timeout: Time after which a vote that release control has not answered counts as lost.
+        vote_rate_limit: Number of votes per second that release control accepts from the whole fleet.
         tenant_shares: Share of the requests that each tenant sends; empty if there are no tenants.
-        tenant_quotas: Requests per second that each tenant may send.
+        tenant_quotas: Number of requests per second that each tenant may send.
         connect_timeout: Time within which a server must accept a connection.
         key_affinity: Whether servers work faster for keys that they have recently handled.
     """
@@ -211,35 +217,37 @@
     vote_rate_limit: float
     tenant_shares: tuple[float, ...]
     tenant_quotas: tuple[float, ...]
-    # Captures of the first format lack these settings.
+    # Capture files in the first format lack the two settings below, so these have defaults.
     connect_timeout: float = 0.25
     key_affinity: bool = False
 
 
 class ServerHandle(Protocol):
-    """The router's handle of a server; `address` is the host's identifier for it."""
+    """The router's handle of a server; `address` is the host's identifier for the server."""
 
     address: bytes
 
     def update_endpoint(
         self, zone: int, cell: int, build: int, state: int, started_at: float, size: float
     ) -> None:
-        """Apply an entry of an endpoint list, before `RouterHandle.endpoint_list_received` is called.
+        """Apply an entry of an endpoint list to this server.
+
+        The host calls `RouterHandle.endpoint_list_received` after it has applied all entries of the list.
 
         Args:
-            zone: Number of its zone.
-            cell: Number of its cell, a group of servers that share the deduplication of keys.
-            build: Number of the build that it runs.
-            state: An `EndpointState`; any other number counts as gone.
-            started_at: When its process was started; 0 if that was long ago.
-            size: Its capacity relative to other servers.
+            zone: Number of the server's zone.
+            cell: Number of the server's cell, a group of servers that share the deduplication of keys.
+            build: Number of the build that the server runs.
+            state: Number of an `EndpointState`; any other number means that the server is gone.
+            started_at: Time at which the server's process was started; 0 if the start was long ago.
+            size: Capacity of the server relative to other servers.
         """
         ...
 
     def health_check_finished(
         self, duration: float, outcome: AttemptOutcome, report: Sequence[float]
     ) -> None:
-        """Handle the end of a health check after `duration` seconds; its load report may be empty."""
+        """Handle the end of a health check after `duration` seconds; the load report may be empty."""
         ...
 
     def answer_disputed(self, class_index: int, since: float) -> None:
@@ -253,17 +261,17 @@
 
 
 class RequestHandle(Protocol):
-    """The router's handle of an accepted request; `number` is the host's identifier for it."""
+    """The router's handle of an accepted request; `number` is the host's identifier for the request."""
 
     number: int
 
     @property
     def rejection_reason(self) -> RejectionReason | None:
-        """Why the router has given the request up; None if it has not."""
+        """The reason for which the router has given the request up; None if it has not given it up."""
         ...
 
     def finished(self) -> bool:
-        """Return whether the router needs no more events on the request; the host may then drop it."""
+        """Return whether the host may drop the request, because the router needs no more events on it."""
         ...
 
     def attempt_ended(
@@ -278,22 +286,23 @@
 
         Args:
             attempt: Index of the attempt in the request, from 0.
-            outcome: How it ended.
-            is_final: Whether the client got its answer from it, so that no other attempt is needed.
+            outcome: How the attempt ended.
+            is_final: Whether the client got its answer from this attempt, so that it needs no other attempt.
             duration: Seconds from `RouterHost.send_attempt` to the end of the attempt.
-            report: The server's load report, in the order of the settings' columns; empty if there was none.
+            report: The numbers of the server's load report, in the order of
+                `RouterSettings.load_report_columns`; empty if there was no load report.
         """
         ...
 
     def attempt_still_allowed(self, attempt: int) -> bool:
-        """Return whether a commanded attempt may still be sent, given all events since the command.
+        """Return whether an attempt may still be sent, given all events since the router ordered it.
 
-        The call changes no state.
+        The call changes no state of the router.
         """
         ...
 
     def client_disconnected(self) -> None:
-        """Handle the disconnect of the client, which needs no answer any more."""
+        """Handle the disconnect of the client, which no longer needs an answer."""
         ...
 
 
@@ -308,13 +317,14 @@
         """Handle the end of an endpoint list, after all its entries were applied to their servers.
 
         Args:
-            is_complete: Whether servers missing from the list are gone; else the list contains only changes.
-            is_cached: Whether the list was stored before a restart, and discovery has not confirmed it yet.
+            is_complete: Whether the list contains all servers, so that servers missing from it are gone;
+                otherwise the list contains only changes.
+            is_cached: Whether the list was stored before a restart and is not yet confirmed by discovery.
         """
         ...
 
     def endpoint_poll_failed(self) -> None:
-        """Handle a failed call for the endpoint list."""
+        """Handle the failure of a call to discovery for the endpoint list."""
         ...
 
     def accept_request(
@@ -331,66 +341,71 @@
         """Accept a request that has arrived.
 
         Args:
-            number: The host's identifier for it.
-            class_index: Index of its class.
-            tenant_index: Index of its tenant in the settings; the number of tenants for any other tenant.
-            effort: Seconds of work that it is expected to take, if known.
-            deadline: When its client gives up.
-            key: The key that it shares with related requests; 0 if it has none.
-            is_retry: Whether its client has sent it before.
-            age: Seconds since its last byte arrived, as the host may have read it late.
+            number: The host's identifier for the request.
+            class_index: Index of the request's class in the settings.
+            tenant_index: Index of the request's tenant in the settings. For a tenant that is not in
+                the settings, this argument is the number of tenants in the settings.
+            effort: Seconds of work that the request is expected to take; None if unknown.
+            deadline: Time at which the client stops waiting for an answer.
+            key: The key that the request shares with related requests; 0 if the request has no key.
+            is_retry: Whether the client has sent the request before.
+            age: Seconds since the last byte of the request arrived; above 0 if the host has read it late.
         """
         ...
 
     def release_state_received(
         self, age: float, exposure_limit: float, build: int, stage: int, phase: ReleasePhase
     ) -> None:
-        """Handle release control's state of the newest build.
+        """Handle the state of the newest build's release, as reported by release control.
 
         Args:
-            age: Seconds since the stage or phase began.
-            exposure_limit: Share of requests that the build may get.
-            build: Number of the build.
-            stage: Index of the stage.
+            age: Seconds since the release stage or phase began.
+            exposure_limit: Share of requests that the newest build may get.
+            build: Number of the newest build.
+            stage: Index of the release stage.
             phase: The release phase.
         """
         ...
 
     def vote_acknowledged(self, receipt: VoteReceipt) -> None:
-        """Handle release control's answer to a vote, or the lack of an answer in time."""
+        """Handle release control's answer to this instance's vote, or the lack of an answer in time."""
         ...
 
     def release_counts_received(
         self, build: int, class_index: int, count: int, failed: int, mean_latency: float, age: float
     ) -> None:
-        """Handle release control's counts of the whole fleet's attempts at a build, for one class.
+        """Handle counts by release control of the whole fleet's attempts at a build in one request class.
 
         Args:
             build: Number of the build.
-            class_index: Index of the class.
-            count: Number of attempts that ended.
-            failed: Number of these attempts that failed.
-            mean_latency: Mean latency in seconds.
-            age: Seconds since the end of the period that the counts cover.
+            class_index: Index of the request class.
+            count: Number of attempts that have ended.
+            failed: Number of attempts that have ended with a failure.
+            mean_latency: Mean latency of the attempts in seconds.
+            age: Seconds since the end of the period in which the attempts were counted.
         """
         ...
 
     def peer_outcome_received(self, server: Any, build: int, class_index: int, bin_index: int) -> None:
-        """Handle a peer's report of an outcome: a bin index of `histogram.EDGES`, or `histogram.OVERDUE`."""
+        """Handle a peer's report of the outcome of an attempt.
+
+        `bin_index` is the index of a histogram bin with the edges `histogram.EDGES`, or `histogram.OVERDUE`.
+        """
         ...
 
     def peer_stalled_classes_received(self, peer: int, class_indices: Sequence[int]) -> None:
-        """Handle a peer's report of the classes that it has found stalled."""
+        """Handle a peer's report of the request classes that the peer has found stalled."""
         ...
 
     def peer_verdict_received(self, peer: int, build: int, stage: int, verdict: Verdict) -> None:
-        """Handle a peer's verdict on a stage of a build."""
+        """Handle a peer's verdict on a build in a release stage."""
         ...
 
     def membership_changed(self, present: Sequence[int]) -> None:
         """Handle a change of the fleet's membership.
 
-        Hosts without membership never call this; then all instances of the settings count as present.
+        A host that does not know the membership never calls this method. All instances in the settings then
+        count as present.
 
         Args:
             present: Numbers of all instances present, including this one, in ascending order.
@@ -408,19 +423,22 @@
     clock: float
 
     def send_attempt(self, request: RequestHandle, server: ServerHandle, deadline: float) -> None:
-        """Send the request's next attempt to a server, and end the attempt at the deadline."""
+        """Send the request's next attempt to a server, and end the attempt at the time `deadline`."""
         ...
 
     def cancel_attempt(self, request: RequestHandle, attempt: int) -> None:
-        """Cancel an attempt in flight; its end is reported like that of any other attempt."""
+        """Cancel an attempt in flight; its end is reported to the router like that of any other attempt."""
         ...
 
     def reject(self, request: RequestHandle, retry_after: float) -> None:
-        """Answer that the client may send the request again after `retry_after` seconds."""
+        """Answer the client that it may send the request again after `retry_after` seconds."""
         ...
 
     def fail(self, request: RequestHandle) -> None:
-        """Answer that the request has failed; it must not be repeated without a check, as it may have run."""
+        """Answer the client that the request has failed.
+
+        The client must not repeat the request without a check, because a server may have run it.
+        """
         ...
 
     def call_later(self, delay: float, call: Callable[[], None]) -> None:
@@ -428,7 +446,7 @@
         ...
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Send a vote to release control."""
+        """Send a vote on a build in a release stage to release control."""
         ...
 
     def check_health(self, server: ServerHandle) -> None:
@@ -448,21 +466,21 @@
         ...
 
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[ServerHandle, int, int, int]]) -> None:
-        """Send outcomes to a peer: server, build, class index and bin index of each."""
+        """Send outcomes to a peer, each as a tuple of server, build, class index and bin index."""
         ...
 
     def gossip_verdict(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Send a verdict to all peers."""
+        """Send a verdict on a build in a release stage to all peers."""
         ...
 
     def gossip_stalled_classes(self, class_indices: Sequence[int]) -> None:
-        """Send the classes found stalled to all peers."""
+        """Send the indices of the request classes that were found stalled to all peers."""
         ...
 
     def log_decision(self, text: str) -> None:
-        """Log the evidence behind a decision."""
+        """Log the evidence on which a decision is based."""
         ...
 
 
-# Arguments: settings, host, seed of the random draws.
+# A function that creates a router. Its arguments are the settings, the host and the seed of the random draws.
 MakeRouter = Callable[[RouterSettings, RouterHost, int], RouterHandle]
--- a/stepsail/decisions/request.py
+++ b/stepsail/decisions/request.py
@@ -1,8 +1,9 @@
-"""The life cycle of one request: its attempts, its deadline and its final answer.
+"""This module handles the life cycle of one request: its attempts, its deadline and its final answer.
 
-Once an attempt may have run, the idempotency of the request's class decides whether the request may be sent
-again: an idempotent request to any server; a request with an idempotency key only to servers in the key's
-deduplication scope, and only within the key's window; a non-idempotent request to no server.
+Once a server may have run an attempt, the idempotency of the request's class decides whether the request may
+be sent again. An idempotent request may be sent to any server. A request with an idempotency key may be sent
+only to servers in the key's deduplication scope, and only within the key's window. A non-idempotent request
+may not be sent to any server.
 """
 
 from __future__ import annotations
@@ -29,10 +30,14 @@
     from stepsail.decisions.router import Router
     from stepsail.decisions.server import Server
 
-SEND_DELAY = 0.2  # s that may pass between the time check and the first byte of an attempt
-MIN_REMAINING_LATENCIES = 2.0  # usual latencies that must remain of the objective at the first attempt
-MIN_WAIT_SHARE = 0.25  # share of the objective for which a request may wait however slow its class is
-# Share of rejected attempts from which servers count as overloaded, and outcomes are no evidence on a build.
+# Seconds that may pass between the check that an attempt is still in time and the attempt's first byte.
+SEND_DELAY = 0.2
+# Multiple of the class's usual latency that must remain before the latency objective at the first attempt.
+MIN_REMAINING_LATENCIES = 2.0
+# Share of the latency objective for which a request may wait for its first attempt even if its class is slow.
+MIN_WAIT_SHARE = 0.25
+# If at least this share of recent attempts was rejected, servers count as overloaded, and the outcomes of
+# attempts are no evidence on a build.
 OVERLOAD_REJECTION_SHARE = 0.2
 
 DID_NOT_RUN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
@@ -58,9 +63,11 @@
         self.deadline = deadline
         self.key = key
         self.is_retry = is_retry
-        self.closed = False  # whether it has its final answer, or its client has disconnected
+        # Whether the client has its final answer or has disconnected, so that no more attempts are sent.
+        self.closed = False
         self.arrived_at: float = router.host.clock - age
-        self.draw: float = router.next_random()  # one draw for all random decisions on this request
+        # One random number in [0, 1) that is used for all random decisions on this request.
+        self.draw: float = router.next_random()
         self.request_class: RequestClass = router.settings.request_classes[class_index]
         self.attempts: list[Attempt] = []
         self.usual_latency: DecayingMean = router.admission.usual_latency[class_index]
@@ -70,7 +77,8 @@
     @property
     def stalled(self) -> bool:
         """Whether the request's class or tenant is stalled."""
-        return any([d.stalled for d in self.stall_detectors])  # a list is faster here than a generator
+        # A list is faster than a generator here.
+        return any([d.stalled for d in self.stall_detectors])
 
     def finished(self) -> bool:
         """Return whether the request is closed and all its attempts have ended."""
@@ -79,7 +87,7 @@
     # -- whether an attempt is allowed -------------------------------------------------------------------
 
     def may_be_sent_to(self, server: Server) -> bool:
-        """Return whether another attempt may go to this server, given the attempts that may have run."""
+        """Return whether another attempt may be sent to this server, given the attempts that may have run."""
         first = next((a for a in self.attempts if a.may_have_run), None)
         if first is None:
             return True
@@ -93,11 +101,12 @@
         return self.router.host.clock < first.sent_at + request_class.key_window - CLOCK_MARGIN
 
     def attempt_still_allowed(self, attempt_index: int) -> bool:
-        """Return whether an attempt may still be sent; the host asks right before the attempt's first byte.
+        """Return whether an attempt may still be sent.
 
-        Since its server was chosen, a later build may have answered a request with the same key, the exposure
-        limit of a build on canary may have dropped to 0, or the key's window may have ended. The call changes
-        no state.
+        The host calls this method right before it sends the attempt's first byte. Since the server was
+        chosen, a later build may have answered a request with the same key, the exposure limit of a build on
+        canary may have dropped to 0, or the window of the idempotency key may have ended. The call changes no
+        state.
         """
         attempt = self.attempts[attempt_index]
         router = self.router
@@ -114,7 +123,7 @@
     # -- the next attempt, or giving up ------------------------------------------------------------------
 
     def dispatch(self) -> None:
-        """Send an attempt, wait for capacity, or give the request up."""
+        """Send the request's next attempt, let the request wait for capacity, or give the request up."""
         router = self.router
         now = router.host.clock
         reason = self._reason_to_give_up(now)
@@ -132,7 +141,8 @@
         router.admission.in_flight.append(attempt)
         self.attempts.append(attempt)
         server.attempts.append(attempt)
-        # A server with enough failures is ejected anew: it gets one attempt at a time until one is served.
+        # A server with enough consecutive failures is ejected anew by this call, so that the server gets only
+        # one attempt at a time until it has served an attempt.
         server.record_failures(0)
         router.host.send_attempt(self, server, self.deadline)
 
@@ -152,8 +162,9 @@
     def may_cancel_attempts(self) -> bool:
         """Return whether the request's attempts at an unresponsive server may be cancelled.
 
-        Another server must be available for it. If the request would be given up rather than retried, it must
-        be safe to reject: else it would fail, although the unresponsive server may still answer it.
+        Another server must be available for the request. If the request would be given up rather than
+        retried, the client must be able to repeat it safely. Otherwise the request would fail, although the
+        unresponsive server may still answer it.
         """
         if self.closed or not (
             self.retry_is_safe() or self._reason_to_give_up(self.router.host.clock) is None
@@ -162,11 +173,12 @@
         return any(s.available() and self.may_be_sent_to(s) for s in self.router.pool.ready)
 
     def _too_late(self, now: float) -> bool:
-        """Return whether it is too late for an answer in time.
+        """Return whether it is too late to send an attempt that could still be useful.
 
-        A first attempt must have `MIN_REMAINING_LATENCIES` usual latencies left before the latency objective,
-        except within the first `MIN_WAIT_SHARE` of the objective. A retry may be sent until the objective,
-        or later if a late answer still has some weight.
+        When the first attempt is sent, at least `MIN_REMAINING_LATENCIES` usual latencies of the class must
+        be left before the latency objective. During the first `MIN_WAIT_SHARE` of the objective, a first
+        attempt is always allowed. A retry may be sent until the objective, or later if a late answer still
+        has weight.
         """
         objective = self.request_class.latency_objective
         if self.attempts:
@@ -179,7 +191,7 @@
     def give_up(self, reason: RejectionReason) -> None:
         """End the request without an answer from a server.
 
-        It is rejected if the client may safely send it again, else it fails.
+        If the client may safely send the request again, the request is rejected; otherwise it fails.
         """
         self.rejection_reason = reason
         self.closed = True
@@ -201,7 +213,7 @@
         )
 
     def client_disconnected(self) -> None:
-        """Close the request, so that no further attempt is sent, as its client has disconnected."""
+        """Close the request because its client has disconnected, so that no further attempt is sent."""
         self.closed = True
 
     # -- the end of an attempt ---------------------------------------------------------------------------
@@ -214,7 +226,15 @@
         duration: float,
         report: Sequence[float],
     ) -> None:
-        """Handle the end of an attempt after `duration`; `is_final`: the client got its answer from it."""
+        """Handle the end of an attempt.
+
+        Args:
+            attempt_index: Index of the attempt in the request, from 0.
+            outcome: How the attempt ended.
+            is_final: Whether the client received its answer from this attempt.
+            duration: Duration of the attempt in seconds.
+            report: The server's load report; empty if there was none.
+        """
         attempt = self.attempts[attempt_index]
         router = self.router
         attempt.ended = True
@@ -222,7 +242,8 @@
         attempt.server.attempts.remove(attempt)
         router.admission.in_flight.remove(attempt)
         attempt.server.report_received(report)
-        # A connect that fails this early was refused by the server, rather than lost or slow.
+        # If a connect fails within half the connect timeout, the server has refused it; the connect was not
+        # lost or slow.
         was_refused = (
             outcome is AttemptOutcome.CONNECT_FAILED and duration < router.settings.connect_timeout / 2
         )
@@ -242,7 +263,7 @@
     def _record_latency(
         self, attempt: Attempt, outcome: AttemptOutcome, duration: float, process_was_paused: bool
     ) -> None:
-        """Record the attempt's latency for its class, its path and its server."""
+        """Record the attempt's latency in the statistics of its request class, network path and server."""
         pool = self.router.pool
         stalled = self.stalled
         if not process_was_paused and not stalled:
@@ -255,7 +276,7 @@
         attempt.server.attempt_ended(outcome, ratio, latency_is_valid, stalled)
 
     def _record_evidence(self, attempt: Attempt, outcome: AttemptOutcome, duration: float) -> None:
-        """Record the outcome as evidence on stalls, overload and the build, where it is evidence."""
+        """Record the outcome as evidence on stalls, on overload and on the build, as far as it is valid."""
         server = attempt.server
         if (
             not self._caused_by_server(attempt, outcome, duration)
@@ -271,9 +292,11 @@
         observation = (server, attempt.build, self.request_class.index, bisect_left(EDGES, timeout_share))
 
         if self.stalled:
-            router.gossip.add(observation)  # so that judges notice the end of the stall
+            # The outcome is still sent to the judging instances, so that they notice the end of the stall.
+            router.gossip.add(observation)
             return
-        # A server that answers late without a queue is slow, not overloaded: fewer attempts don't help it.
+        # A server that answers late although no requests are queued at it is slow, not overloaded. Sending it
+        # fewer attempts would not help, so the late answer does not shrink the concurrency window.
         queue_unknown = router.host.clock - server.last_response_at > LOAD_REPORT_TTL
         if in_time or server.reported_queue > 0 or queue_unknown:
             router.admission.adjust_window(in_time)
@@ -288,8 +311,8 @@
     def _caused_by_server(self, attempt: Attempt, outcome: AttemptOutcome, duration: float) -> bool:
         """Return whether the server itself caused the outcome.
 
-        It caused a timeout if it has responded to anything since the attempt was sent, unless the client gave
-        up before the latency objective.
+        The server counts as the cause of a timeout if it has sent any response or load report since the
+        attempt was sent, unless the client gave up before the latency objective.
         """
         if outcome is AttemptOutcome.TIMED_OUT:
             was_cut_short = duration <= self.request_class.latency_objective
@@ -299,7 +322,7 @@
     def record_for_stall_detection(self, attempt: Attempt, is_late: bool) -> None:
         """Count an attempt for the stall detectors of its class and tenant.
 
-        Each attempt counts once: when it becomes overdue, or when it ends before that.
+        Each attempt counts once: when it passes the latency objective, or when it ends, if it ends earlier.
         """
         if not attempt.counted_for_stalls:
             attempt.counted_for_stalls = True
--- a/stepsail/decisions/router.py
+++ b/stepsail/decisions/router.py
@@ -1,8 +1,8 @@
-"""Coordinates one instance's decisions: passes each event of the host to the module that decides on it.
+"""The router passes each event of the host to the module that decides on the event.
 
 A host, as described in `stepsail/decisions/interface.py`, creates a `Router(settings, host, seed)`, and calls
-its methods and those of the handles that it returns. The router owns the other parts, the timer between
-events and the random draws.
+the methods of the router and of the handles that the router returns. The router owns the objects of the other
+decision modules, the timer between events and the random draws.
 """
 
 from __future__ import annotations
@@ -33,23 +33,29 @@
 from stepsail.decisions.timing import CLOCK_MARGIN, TICK_INTERVAL, TICK_INTERVAL_WHILE_WAITING
 from stepsail.decisions.voting import VotingRules
 
-INITIAL_POLL_PAUSE = 0.8  # s; pause between polls of discovery before any growth
-MAX_POLL_PAUSE = 4.0  # s
-POLL_PAUSE_GROWTH = 1.5  # factor after each poll while no list is confirmed, so that calls don't pile up
+# Pause in seconds between two polls of service discovery for the endpoint list, before the pause grows.
+INITIAL_POLL_PAUSE = 0.8
+# Longest pause in seconds between two polls of service discovery for the endpoint list.
+MAX_POLL_PAUSE = 4.0
+# Factor by which each poll of service discovery lengthens the pause before the next poll, while no endpoint
+# list is confirmed. The pause grows so that calls don't pile up at service discovery.
+POLL_PAUSE_GROWTH = 1.5
 
 
 class Router:
-    """Makes all decisions of one instance; see `RouterHandle` for its events."""
+    """Makes all decisions of one instance; `RouterHandle` documents the events that it handles."""
 
-    pool_type: type[ServerPool] = ServerPool  # overridden by the baselines of experiments
+    # Experiments override these two types in the routers that serve as baselines for comparison.
+    pool_type: type[ServerPool] = ServerPool
     canary_type: type[Canary] = Canary
 
     def __init__(self, settings: RouterSettings, host: RouterHost, seed: int) -> None:
         self.settings = settings
         self.host = host
         self.seed = seed
-        self.draws = 0  # number of random draws made
-        # This instance's index and the number of instances, by the fleet's membership if it is known.
+        self.draws = 0  # number of random numbers drawn so far
+        # This instance's index among the instances present, and the number of instances present. None while
+        # the fleet's membership is unknown.
         self.fleet_position: tuple[int, int] | None = None
         self.pool = self.pool_type(self)
         self.stalls = StallDetection(self)
@@ -68,16 +74,16 @@
         self.ensure_endpoint_watch()
 
     def next_random(self) -> float:
-        """Return the next random number, uniform in [0, 1), from the seed and a counter."""
+        """Return the next random number, uniform in [0, 1), computed from the seed and a counter."""
         self.draws += 1
         return crc32(b"%d.%d" % (self.seed, self.draws)) / 2**32
 
     # -- the fleet ---------------------------------------------------------------------------------------
 
     def position(self) -> tuple[int, int]:
-        """Return this instance's index among the instances present, and their number.
+        """Return this instance's index among the instances present, and the number of instances present.
 
-        Both are taken from the settings while the membership is unknown.
+        While the fleet's membership is unknown, both numbers are taken from the settings.
         """
         return self.fleet_position or (self.settings.instance_index, max(1, self.settings.instance_count))
 
@@ -86,7 +92,7 @@
         return len(self.pool.ready) / self.position()[1]
 
     def membership_changed(self, present: Sequence[int]) -> None:
-        """Redistribute servers, votes and judging among the instances now present."""
+        """Redistribute servers, votes and the judging of builds among the instances now present."""
         index = bisect_left(present, self.settings.instance_index)
         self.fleet_position = (index, max(1, len(present)))
         self._update_judges(present)
@@ -98,25 +104,25 @@
     # -- endpoints ---------------------------------------------------------------------------------------
 
     def add_server(self, address: bytes) -> Server:
-        """Add a server that was not known before."""
+        """Add a server that this router did not know before."""
         server = Server(self, address)
         self.pool.servers.append(server)
         return server
 
     def endpoint_list_received(self, is_complete: bool, is_cached: bool) -> None:
-        """Update the server pool, after all entries of a list were applied to their servers."""
+        """Update the server pool after all entries of an endpoint list were applied to their servers."""
         self.pool.endpoint_list_received(is_complete)
         if not is_cached:
             self.list_confirmed = True
 
     def endpoint_poll_failed(self) -> None:
-        """Mark the list as unconfirmed, as a call for it has failed."""
+        """Mark the endpoint list as unconfirmed, because a call to discovery for the list has failed."""
         self.list_confirmed = False
 
     def ensure_endpoint_watch(self) -> None:
-        """Ask discovery for the endpoint list if none is confirmed.
+        """Ask service discovery for the endpoint list if no list is confirmed.
 
-        If discovery must be polled, the check is repeated after a pause.
+        If service discovery must be polled, this method runs again after a pause.
         """
         if not self.list_confirmed:
             self.host.watch_endpoints()
@@ -151,10 +157,10 @@
     def release_state_received(
         self, age: float, exposure_limit: float, build: int, stage: int, phase: ReleasePhase
     ) -> None:
-        """Apply release control's state of the newest build, whose stage or phase began `age` seconds ago."""
+        """Apply the newest build's release state, whose stage or phase began `age` seconds ago."""
         release = self.release
         if build < release.build:
-            return  # outdated: a newer build is known
+            return  # The message is outdated, because a newer build is known.
         if build > release.build:
             self.observations.new_build_offered()
         has_changed = (build, stage, phase) != (release.build, release.stage, release.phase)
@@ -168,9 +174,10 @@
             self.schedule_tick(TICK_INTERVAL)
 
     def _begin_stage(self, started_at: float) -> None:
-        """Start judging a stage.
+        """Start judging the build in a new stage or phase, if it is to be judged.
 
-        A build that this instance has judged on canary is also judged after its release.
+        A build on canary is judged. A build that this instance has judged on canary is also judged after its
+        release.
         """
         release = self.release
         was_judged = self.canary is not None and self.canary.build == release.build
@@ -183,16 +190,19 @@
             self.canary = None
 
     def vote_acknowledged(self, receipt: VoteReceipt) -> None:
-        """Pass release control's response to a vote on to the ballot."""
+        """Pass release control's response to a vote on the build to the ballot that cast the vote."""
         if self.canary:
             self.canary.ballot.acknowledged(receipt)
 
     def release_counts_received(
         self, build: int, class_index: int, count: int, failed: int, mean_latency: float, age: float
     ) -> None:
-        """Record release control's counts: the only fleet-wide data if instances exchange no gossip."""
+        """Record release control's counts of a build's attempts and failures over the whole fleet.
+
+        If instances exchange no gossip, these counts are the only fleet-wide data; else they are ignored.
+        """
         if any(s.path_latency_ratio() >= BAD_PATH_LATENCY_RATIO for s in self.pool.ready):
-            failed = 0  # the failures may be losses on the bad path
+            failed = 0  # The failures may be attempts that were lost on the network path with bad latency.
         if self.settings.gossip_enabled or class_index >= len(self.settings.request_classes):
             return
         if 0 <= failed <= count:
@@ -203,7 +213,7 @@
     def observe(
         self, server: Server, build: int, class_index: int, bin_index: int, is_own: bool = True
     ) -> None:
-        """Add an outcome, this instance's own or a peer's, to all histograms that it is evidence for."""
+        """Add an outcome that this instance or a peer observed to each histogram it is evidence for."""
         observations = self.observations
         canary = self.canary
         targets: list[HistogramsByClass] = [observations.recent, observations.newest]
@@ -221,7 +231,7 @@
         observations.changed = True
 
     def discard_evidence(self) -> None:
-        """Discard all evidence on servers and builds, as neither caused the outcomes."""
+        """Discard all evidence on servers and builds, because neither of them caused the outcomes."""
         self.observations.discard_recent()
         for server in self.pool.servers:
             server.discard_evidence()
@@ -229,7 +239,7 @@
             self.canary.discard_evidence()
 
     def peer_outcome_received(self, server: Server, build: int, class_index: int, bin_index: int) -> None:
-        """Record an outcome that a peer has reported; unknown classes and bins are ignored."""
+        """Record an outcome that a peer has reported, unless its class or its histogram bin is unknown."""
         is_known_bin = bin_index <= FAILURE_BIN or bin_index >= OVERDUE
         if class_index >= len(self.settings.request_classes) or not is_known_bin:
             return
@@ -239,18 +249,18 @@
             self.observe(server, build, class_index, bin_index, is_own=False)
 
     def peer_stalled_classes_received(self, peer: int, class_indices: Sequence[int]) -> None:
-        """Apply a peer's report of stalled classes; only reports of judges count."""
+        """Apply a peer's report of stalled classes, if the peer is one of the fleet's judges."""
         if peer in self.gossip.judges:
             self.stalls.report_received(class_indices)
 
     def peer_verdict_received(self, peer: int, build: int, stage: int, verdict: Verdict) -> None:
-        """Apply a peer's verdict; only verdicts of judges count."""
+        """Apply a peer's verdict on a build; only verdicts of the fleet's judges count."""
         self.gossip.verdict_received(peer, build, stage, verdict)
 
     # -- the timer ---------------------------------------------------------------------------------------
 
     def schedule_tick(self, delay: float) -> None:
-        """Schedule a tick after `delay` seconds, unless one is due sooner."""
+        """Schedule a tick after `delay` seconds, unless another tick is due no later than that."""
         if self.host.clock + delay < self.next_tick_at:
             self.next_tick_at = self.host.clock + delay
             self.host.call_later(delay, self.tick)
@@ -258,7 +268,7 @@
     def process_was_paused(self) -> bool:
         """Return whether this process has just resumed after a pause.
 
-        Responses that it reads at this time look slow, although they only waited for this process.
+        Responses that the process reads right after a pause look slow, although they only waited to be read.
         """
         if self.host.clock > self.next_tick_at + TICK_INTERVAL:
             self.resumed_at = self.host.clock
@@ -267,7 +277,7 @@
     def tick(self) -> None:
         """Check everything that changes with time: attempts, servers, waiting requests and the canary."""
         if self.host.clock < self.next_tick_at - CLOCK_MARGIN / 2:
-            return  # superseded by a sooner tick, which has run already
+            return  # An earlier tick has replaced this tick and has already run.
         process_was_paused = self.process_was_paused()
         self.next_tick_at = inf
         if not process_was_paused:
@@ -283,7 +293,7 @@
             self.schedule_tick(TICK_INTERVAL_WHILE_WAITING if waiting else TICK_INTERVAL)
 
     def _record_overdue(self) -> None:
-        """Count attempts in flight past the latency objective as late, before they end."""
+        """Count attempts in flight past the latency objective as late, without waiting for their end."""
         now = self.host.clock
         overdue = [attempt for attempt in self.admission.in_flight if attempt.overdue(now)]
         for attempt in overdue:
@@ -293,7 +303,10 @@
             request.record_for_stall_detection(attempt, True)
 
     def _eject_unresponsive_servers(self) -> None:
-        """Eject unresponsive servers, and cancel their attempts whose requests may move to another server."""
+        """Eject unresponsive servers, and cancel the attempts at them that another server may take over.
+
+        Attempts are cancelled only if the settings allow it, and only if the request may be sent elsewhere.
+        """
         used = dict.fromkeys(attempt.server for attempt in self.admission.in_flight)
         for server in [s for s in used if s.unresponsive()]:
             server.record_failures(EJECTION_THRESHOLD)
--- a/stepsail/decisions/selection.py
+++ b/stepsail/decisions/selection.py
@@ -1,8 +1,8 @@
-"""Selects the server of the next attempt by power of two choices among weighted, connected servers.
+"""This module selects the server of the next attempt by power of two choices among weighted servers.
 
-An instance with few requests uses few servers, so that connections stay open. Servers in slow start get no
-more than their slow-start share. If servers work faster for recently used keys (key affinity), requests with
-a key prefer the key's two home servers.
+Servers with open connections are preferred. An instance with few requests uses few servers, so that
+connections stay open. Servers in slow start get no more than their slow-start share of the load. If servers
+work faster for recently used keys (key affinity), requests with a key prefer the key's two home servers.
 """
 
 from __future__ import annotations
@@ -24,41 +24,55 @@
     from stepsail.decisions.request import Request
     from stepsail.decisions.router import Router
 
-HOME_COST_FACTOR = 0.7  # factor on a home server's cost when it is compared with that of another server
+# The cost of a key's home server is multiplied by this factor when it is compared with another server's cost.
+HOME_COST_FACTOR = 0.7
 HOME_SERVERS_PER_KEY = 2
-MIN_WEIGHT = 1e-9  # avoids a division by 0
-MIN_SERVERS_USED = 4  # servers that an instance uses at least, however few requests it has
-ATTEMPTS_PER_CONNECTION = 15  # attempts that a connection should carry within the idle timeout
-MAX_ARRIVALS_KEPT = 4000  # arrival times of requests
-# Share of the load that overloads servers in slow start, up to which all instances together may send to them.
+# Least server weight by which a score is divided, so that there is no division by 0.
+MIN_WEIGHT = 1e-9
+# Least number of servers that an instance uses, however few requests it has.
+MIN_SERVERS_USED = 4
+# Number of attempts that a connection should carry within the idle timeout.
+ATTEMPTS_PER_CONNECTION = 15
+# Largest number of request arrival times that an instance keeps.
+MAX_ARRIVALS_KEPT = 4000
+# All instances together may send servers in slow start up to this share of the load that overloads them.
 MAX_COLD_LOAD_SHARE = 0.5
-MIN_CONNECTIONS_KEPT = 2  # servers whose connections stay open while connects are refused
-REFUSED_CONNECT_THRESHOLD = 0.05  # share of connects refused at once, from which idle connections are closed
-SMOOTHING_FACTOR = 0.08  # weight of the latest attempt in exponential moving averages
-MIN_EARLIER_BUILD_SHARE = 0.5  # share of ready servers on earlier builds that can handle all requests
-BAD_PATH_LATENCY_RATIO = 3.0  # multiple of the best path's latency from which outcomes are due to the path
+# Least number of servers whose connections stay open when idle connections are closed because servers refuse
+# connects.
+MIN_CONNECTIONS_KEPT = 2
+# If more than this share of recent connects was refused at once, idle connections are closed.
+REFUSED_CONNECT_THRESHOLD = 0.05
+# Weight of the latest attempt in exponential moving averages.
+SMOOTHING_FACTOR = 0.08
+# If at least this share of the ready servers runs earlier builds, those servers can handle all requests.
+MIN_EARLIER_BUILD_SHARE = 0.5
+# From this multiple of the best network path's latency on, outcomes are attributed to the path itself.
+BAD_PATH_LATENCY_RATIO = 3.0
 
 
 class ServerPool:
-    """All known servers, those that may be chosen, and statistics on the paths and connects to them."""
+    """All known servers, the ready servers, and statistics on network paths and connects to the servers."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
         self.host = router.host
         self.settings = router.settings
         self.servers: list[Server] = []
-        # Rotated by the instance's position in the fleet, so that instances use different subsets.
+        # Ready servers sorted by address. The order is rotated according to the instance's position in the
+        # fleet, so that instances with few requests use different servers.
         self.ready: list[Server] = []
         self.list_number: int = 0  # number of endpoint lists received
         self.arrivals = TimestampWindow(maxlen=MAX_ARRIVALS_KEPT)
-        self.zone_latency: dict[int, DecayingMean] = {}  # by zone, in usual latencies of the class
-        self.best_zone_latency: float = 0.0  # the least mean of `zone_latency`; 0 while that is empty
+        # Mean latency of attempts per server zone, as a multiple of the usual latency of the request's class.
+        self.zone_latency: dict[int, DecayingMean] = {}
+        # The lowest mean in `zone_latency`; 0 while `zone_latency` is empty.
+        self.best_zone_latency: float = 0.0
         self.connect_failures: DecayingMean = DecayingMean(0.0)  # share of connects that failed
         self.refused_connects = 0.0  # recent share of connects that were refused at once
         self.rejected_attempts = 0.0  # recent share of attempts that were rejected or failed to connect
 
     def endpoint_list_received(self, is_complete: bool) -> None:
-        """Update the ready servers, after all entries of an endpoint list were applied to their servers.
+        """Update the ready servers after all entries of an endpoint list were applied to their servers.
 
         Servers that are missing from a complete list count as gone.
         """
@@ -73,7 +87,7 @@
         self.ready = ready[start:] + ready[:start]
 
     def earlier_build_suffices(self) -> bool:
-        """Return whether enough servers run builds before the newest one to handle all requests."""
+        """Return whether enough servers run builds older than the newest build to handle all requests."""
         newest = self.router.release.build
         return sum(s.build < newest for s in self.ready) >= MIN_EARLIER_BUILD_SHARE * len(self.ready)
 
@@ -91,7 +105,7 @@
         canary_capacity = sum(s.capacity_share() for s in canary)
         baseline_capacity = sum(s.capacity_share() for s in baseline)
         capacity = canary_capacity + baseline_capacity
-        # The request's one random draw limits what all instances together send to servers in slow start.
+        # The request's random draw limits the load that all instances together send to servers in slow start.
         if request.draw * len(self.ready) > MAX_COLD_LOAD_SHARE * self.settings.overload_multiple * capacity:
             canary = [s for s in canary if s.warm_at <= now]
             baseline = [s for s in baseline if s.warm_at <= now]
@@ -104,7 +118,8 @@
     def _candidates(self, request: Request) -> list[Server]:
         """Return the servers that may get the request's next attempt.
 
-        Servers that are neither tried nor ejected are preferred, then any that were not tried.
+        Servers that the request has not tried and that are not ejected are preferred. If there are none,
+        servers that the request has not tried are returned; if there are none either, all allowed servers.
         """
         now = self.host.clock
         tried = [a.server for a in request.attempts]
@@ -119,13 +134,14 @@
         )
 
     def pick(self, servers: Sequence[Server], key: int = 0) -> Server:
-        """Return the cheaper of two servers drawn by weight, or one of the key's home servers.
+        """Return the cheaper of two servers drawn at random by weight, or one of the key's home servers.
 
-        A home server is preferred unless it is in slow start or costs much more than the server drawn.
+        A home server is preferred unless it is in slow start or costs much more than the cheaper drawn
+        server.
         """
         now = self.host.clock
         homes = self._home_servers(servers, key)
-        # The share of servers in use is chosen so that each connection carries enough attempts to stay open.
+        # The share of servers in use is limited so that each connection carries enough attempts to stay open.
         interval = self.settings.idle_timeout / ATTEMPTS_PER_CONNECTION
         used_share = max(MIN_SERVERS_USED, self.arrivals.count_since(now - interval)) / len(self.ready)
         if any(s.connected() for s in servers) and self.router.next_random() < self.connect_failures.mean():
@@ -144,7 +160,8 @@
     def _home_servers(self, servers: Sequence[Server], key: int) -> list[Server]:
         """Return a key's home servers, the best last.
 
-        They are chosen by highest random weight (rendezvous hashing), so that all instances agree on them.
+        Home servers are chosen by highest random weight (rendezvous hashing), so that all instances choose
+        the same home servers for a key.
         """
         # Without load reports in answers, an overloaded home server could not be recognised.
         load_in_answers = self.settings.load_report_columns and not self.settings.load_reports_by_health_check
@@ -163,7 +180,13 @@
     # -- statistics on connections and paths -------------------------------------------------------------
 
     def record_connection_outcome(self, attempt: Attempt, outcome: AttemptOutcome, was_refused: bool) -> None:
-        """Record how an attempt's connection went; `was_refused`: the server refused the connect at once."""
+        """Record whether the connect of an attempt succeeded.
+
+        Args:
+            attempt: The attempt that has ended.
+            outcome: How the attempt ended.
+            was_refused: Whether the server refused the connect at once.
+        """
         if was_refused:
             attempt.server.disconnected_at = self.host.clock
         if attempt.opens_connection:
@@ -176,9 +199,9 @@
         self.rejected_attempts += ((1.0 if was_rejected else 0.0) - self.rejected_attempts) * SMOOTHING_FACTOR
 
     def _close_excess_connections(self) -> None:
-        """Close idle connections when servers refuse connects.
+        """Close idle connections if servers refuse connects.
 
-        Idle connections of a few instances would keep all other instances from connecting.
+        Otherwise the idle connections of a few instances would keep all other instances from connecting.
         """
         if self.refused_connects <= REFUSED_CONNECT_THRESHOLD:
             return
@@ -191,7 +214,7 @@
     def record_path_latency(self, zone: int, outcome: AttemptOutcome, latency_ratio: float) -> None:
         """Record an attempt's latency over the path to a zone, as a multiple of the class's usual latency.
 
-        An attempt that was not served counts with at least `BAD_PATH_LATENCY_RATIO`.
+        If an attempt was not served, its latency counts as at least `BAD_PATH_LATENCY_RATIO`.
         """
         min_ratio = 0.0 if outcome is AttemptOutcome.SERVED else BAD_PATH_LATENCY_RATIO
         self.zone_latency.setdefault(zone, DecayingMean()).add(max(min_ratio, latency_ratio))
--- a/stepsail/decisions/server.py
+++ b/stepsail/decisions/server.py
@@ -1,7 +1,7 @@
-"""The state of one server: its endpoint record, slow start, ejection, load and latency.
+"""This module keeps the state of one server: its endpoint record, slow start, ejection, load and latency.
 
-A server is ejected for some time after consecutive failures (outlier ejection). While it is ejected it gets
-one attempt at a time, and only if no other server may be chosen.
+A server is ejected for some time after consecutive failures (outlier ejection). While a server is ejected, it
+gets one attempt at a time, and only if no other server may be chosen.
 """
 
 from __future__ import annotations
@@ -18,13 +18,19 @@
     from stepsail.decisions.attempt import Attempt
     from stepsail.decisions.router import Router
 
-BASE_EJECTION_TIME = 0.5  # s; also the least time without a response before a server counts as unresponsive
-EJECTION_THRESHOLD = 2  # consecutive failures from which a server is ejected
-MAX_COUNTED_FAILURES = 4  # consecutive failures beyond which the ejection gets no longer
-LOAD_REPORT_TTL = 2.0  # s after which a load report is stale
-# Multiple of the usual latency for which a server may send no response before it counts as unresponsive.
+# Shortest ejection of a server in seconds. It is also the least time in seconds without a response after
+# which a server counts as unresponsive.
+BASE_EJECTION_TIME = 0.5
+# Number of consecutive failures after which a server is ejected.
+EJECTION_THRESHOLD = 2
+# Largest number of consecutive failures that is counted; more failures don't lengthen the ejection.
+MAX_COUNTED_FAILURES = 4
+# Age in seconds from which a load report is stale.
+LOAD_REPORT_TTL = 2.0
+# A server that sends no response for longer than this multiple of the usual latency counts as unresponsive.
 UNRESPONSIVE_LATENCY_MULTIPLE = 4.0
-# Factor by which servers of other zones are drawn less often if attempts across zones have a cost.
+# If attempts across zones have a cost, the weight of servers in other zones is divided by this number, so
+# that these servers are drawn less often.
 CROSS_ZONE_WEIGHT_DIVISOR = 1.5
 
 RESPONSE_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.FAILED, AttemptOutcome.REJECTED)
@@ -37,7 +43,7 @@
 
 
 class Server:
-    """One server of the endpoint list, with the state that this instance knows."""
+    """One server of the endpoint list, with what this instance knows about the state of the server."""
 
     def __init__(self, router: Router, address: bytes) -> None:
         self.router = router
@@ -49,25 +55,36 @@
         self.zone = 0
         self.cell = 0
         self.build = 0
-        self.list_number = 0  # number of the last endpoint list that contained it
+        self.list_number = 0  # number of the last endpoint list that contained this server
         self.started_at = 0.0
-        self.warm_at = 0.0  # end of its slow start
+        self.warm_at = 0.0  # time at which the slow start of this server ends
         self.ejected_until = 0.0
-        self.failures = 0  # consecutive
-        self.load = 0.0  # requests in flight at the server, by its last load report
-        # Requests queued at the server, by its last load report; infinite if reports contain no queue length.
+        self.failures = 0  # number of consecutive failures, up to `MAX_COUNTED_FAILURES`
+        self.load = 0.0  # number of requests in flight at the server according to its last load report
+        # Number of requests queued at the server according to its last load report; infinite if load reports
+        # contain no queue length.
         self.reported_queue = inf
-        self.attempts_at_report = 0  # this instance's attempts in flight when that report arrived
-        self.last_response_at = -inf  # time of its last answer or load report
-        self.disconnected_at = -inf  # when it last refused a connect, or its idle connections were closed
-        self.attempts: list[Attempt] = []  # in flight
-        self.relative_latency = DecayingMean()  # as a multiple of the usual latency of the class
-        self.outcomes: HistogramsByClass = {}  # recent ones, while a build is on canary
+        # Number of this instance's attempts in flight at the server when the server's last load report
+        # arrived.
+        self.attempts_at_report = 0
+        self.last_response_at = -inf  # time of the server's last answer or load report
+        # Time at which the server last refused a connect, or at which idle connections to it were last
+        # closed.
+        self.disconnected_at = -inf
+        self.attempts: list[Attempt] = []  # attempts of this instance in flight at the server
+        # Mean latency of the server, as a multiple of the usual latency of the request's class.
+        self.relative_latency = DecayingMean()
+        # Recent outcomes of attempts at the server, collected only while this instance judges a build.
+        self.outcomes: HistogramsByClass = {}
 
     def update_endpoint(
         self, zone: int, cell: int, build: int, state: int, started_at: float, size: float
     ) -> None:
-        """Apply an entry of the endpoint list; another start time or build means another process."""
+        """Apply an entry of the endpoint list to this server.
+
+        If the start time or the build has changed, the server is another process, so what was measured on the
+        previous process is discarded.
+        """
         if started_at != self.started_at or build != self.build:
             self.relative_latency = DecayingMean()
             self.failures = 0
@@ -90,7 +107,7 @@
         return self.state is EndpointState.READY and self.ejected_until <= self.host.clock
 
     def capacity_share(self) -> float:
-        """Return the share of its full capacity that the server has; below 1 only in slow start."""
+        """Return the server's present share of its full capacity; the share is below 1 only in slow start."""
         left = self.warm_at - self.host.clock
         if left <= 0:
             return 1.0
@@ -98,7 +115,7 @@
         return 1 - (1 - settings.slow_start_floor) * min(1.0, left / settings.slow_start_duration)
 
     def path_latency_ratio(self) -> float:
-        """Return the latency of the path to its zone as a multiple of the best path's latency."""
+        """Return the latency of the path to the server's zone as a multiple of the best path's latency."""
         zone_latency = self.pool.zone_latency
         best = self.pool.best_zone_latency or min((z.mean() for z in zone_latency.values()), default=1.0)
         return zone_latency[self.zone].mean() / best if self.zone in zone_latency else 1.0
@@ -106,8 +123,8 @@
     def weight(self) -> float:
         """Return the server's weight in a random draw.
 
-        It depends on the slow start, the path and the zone and, without an open connection, on the share of
-        connects that fail.
+        The weight depends on the slow start, the latency of the network path and the zone. If no connection
+        to the server is open, the weight also depends on the share of connects that fail.
         """
         connect_failure_share = 0.0 if self.connected() else self.pool.connect_failures.mean()
         crosses_zone = self.settings.cross_zone_cost and self.zone != self.settings.zone
@@ -122,22 +139,23 @@
     def connected(self) -> bool:
         """Return whether a connection to the server is probably open.
 
-        It is if the server has responded within the idle timeout, and since then has not refused a connect or
-        had its idle connections closed.
+        A connection counts as open if the server has responded within the idle timeout, and if since that
+        response the server has not refused a connect and idle connections to it were not closed.
         """
         return self.last_response_at > max(self.disconnected_at, self.host.clock - self.settings.idle_timeout)
 
     def cost(self) -> float:
-        """Return an estimate of the latency of one more attempt, for comparing servers."""
+        """Return an estimate of the latency of one more attempt at this server, to compare servers."""
         in_flight = len(self.attempts)
         is_fresh = self.host.clock - self.last_response_at < LOAD_REPORT_TTL
         estimated_load = self.load + in_flight - self.attempts_at_report if is_fresh else 0.0
         return (max(estimated_load, in_flight) / self.capacity_share() + 1) * self.relative_latency.mean()
 
     def unresponsive(self) -> bool:
-        """Return whether it has attempts in flight, but has sent no response for much longer than usual.
+        """Return whether the server has attempts in flight but has not responded for much longer than usual.
 
-        Attempts of stalled classes and tenants are ignored, as their latency is not due to the server.
+        Attempts of stalled classes and tenants are ignored, because the server does not cause their latency.
+        An ejected server never counts as unresponsive.
         """
         oldest = next((a for a in self.attempts if not a.request.stalled), None)
         if oldest is None:
@@ -152,7 +170,7 @@
     # -- events ------------------------------------------------------------------------------------------
 
     def report_received(self, report: Sequence[float]) -> None:
-        """Apply a load report with the columns that the settings name; ignore one of another length."""
+        """Apply a load report; ignore it unless it has one number per column named in the settings."""
         columns = self.settings.load_report_columns
         if len(report) != len(columns):
             return
@@ -174,15 +192,15 @@
         latency_is_valid: bool,
         request_stalled: bool = False,
     ) -> None:
-        """Update latency and failures at the end of an attempt.
+        """Update the server's latency and its count of failures at the end of an attempt.
 
         Args:
             outcome: How the attempt ended.
-            latency_ratio: Its latency as a multiple of the usual latency of its class.
+            latency_ratio: Latency of the attempt as a multiple of the usual latency of the request's class.
             latency_is_valid: Whether the latency is due to the server, rather than to the server's startup or
                 to a pause of this process.
-            request_stalled: Whether the request's class or tenant is stalled, so that neither latency nor
-                failure is due to the server.
+            request_stalled: Whether the request's class or tenant is stalled. If so, the server counts as the
+                cause of neither the latency nor the failure.
         """
         if outcome in RESPONSE_OUTCOMES:
             self.last_response_at = self.host.clock
@@ -190,15 +208,15 @@
             self.failures = 0
             self.relative_latency.add(latency_ratio if latency_is_valid and not request_stalled else 1.0)
         elif outcome in FAILURE_OUTCOMES and not request_stalled:
-            # One lost connection doesn't eject the server, as the connection alone may be at fault; one
-            # failed connect does.
+            # One lost connection does not eject the server, because only the connection may have failed. One
+            # failed connect ejects the server.
             self.record_failures(EJECTION_THRESHOLD if outcome is AttemptOutcome.CONNECT_FAILED else 1)
 
     def record_failures(self, count: int) -> None:
-        """Count consecutive failures.
+        """Add `count` to the number of consecutive failures, and eject the server if there are enough.
 
-        From `EJECTION_THRESHOLD` failures on, each call starts the ejection anew, for longer after more
-        failures.
+        If there are at least `EJECTION_THRESHOLD` failures, each call starts the ejection anew. The ejection
+        is longer after more failures.
         """
         self.failures = min(MAX_COUNTED_FAILURES, self.failures + count)
         if self.failures >= EJECTION_THRESHOLD:
@@ -206,7 +224,7 @@
             self.ejected_until = self.host.clock + BASE_EJECTION_TIME * 2**doublings
 
     def discard_evidence(self) -> None:
-        """Discard outcomes and failures that the server did not cause, and end its ejection."""
+        """Discard the server's outcomes and failures, because it did not cause them, and end its ejection."""
         self.outcomes = {}
         self.failures = 0
         self.ejected_until = 0.0
@@ -214,7 +232,7 @@
     def health_check_finished(
         self, duration: float, outcome: AttemptOutcome, report: Sequence[float]
     ) -> None:
-        """Handle the end of a health check; only its load report is used."""
+        """Handle the end of a health check; only the load report in its response is used."""
         self.report_received(report)
 
     def answer_disputed(self, class_index: int, since: float) -> None:
