--- a/stepsail/decisions/canary.py
+++ b/stepsail/decisions/canary.py
@@ -1,8 +1,10 @@
 """Evaluates the newest build in one release stage: promote it, roll it back, pause it, or go on observing it.
 
-A build is rolled back if its latency distribution is worse than that of earlier builds by more than the
-confidence radius, if it fails significantly more often than they do, or if a slowdown of all builds ends when
-the build is paused. It is promoted once the stage's servers have settled and there is no evidence against it.
+The newest build is rolled back in any of three cases: the gap between its latency distribution and that of
+earlier builds, minus the confidence radius of the gap, is larger than `REJECTED_GAP`; it fails significantly
+more often than earlier builds; or a slowdown of all builds ends when the newest build is paused. The newest
+build is promoted once the servers of the stage have run for the settling time and there is no evidence
+against the build.
 """
 
 from __future__ import annotations
@@ -20,13 +22,24 @@
 if TYPE_CHECKING:
     from stepsail.decisions.router import Router
 
-REJECTED_GAP = 0.15  # a build is rolled back if its gap minus the confidence radius is larger
-ACCEPTED_GAP = 0.1  # a build may be promoted if its gap plus the confidence radius is smaller
-MIN_OUTCOMES = 6  # outcomes of the new build that suffice to promote it if there is no evidence against it
-SUSPICION_THRESHOLD = 1.0  # log evidence of more failures from which a build is suspect and is not promoted
-STAGE_SETTLING_TIME = 3.7  # s from the newest server's start until a build may be promoted
-STAGE_START_TIMEOUT = 11.7  # s after which a stage counts as complete even if servers are missing
-ROUNDING_TOLERANCE = 1e-6  # keeps a share that is a whole number of servers from being rounded up
+# A new build is rolled back if the gap between its latency distribution and that of earlier builds, minus the
+# confidence radius of the gap, is larger than this.
+REJECTED_GAP = 0.15
+# A new build may be promoted if the gap between its latency distribution and that of earlier builds, plus the
+# confidence radius of the gap, is smaller than this.
+ACCEPTED_GAP = 0.1
+# If there is no evidence against a new build, this number of outcomes of its attempts suffices to promote it.
+MIN_OUTCOMES = 6
+# A build is suspect and is not promoted if the log evidence that it fails more often than earlier builds
+# reaches this value.
+SUSPICION_THRESHOLD = 1.0
+# Seconds from the start of the newest server in a release stage until the build may be promoted.
+STAGE_SETTLING_TIME = 3.7
+# Seconds from the start of a release stage after which the stage counts as complete even if some of its
+# servers are missing.
+STAGE_START_TIMEOUT = 11.7
+# Keeps a share of the servers that is a whole number from being rounded up because of a floating-point error.
+ROUNDING_TOLERANCE = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,14 +47,18 @@
     """The evidence against a build: the gap between latency distributions, and log evidence of more failures.
 
     Attributes:
-        gap: Largest excess of the baseline's distribution function over the build's.
+        gap: Largest excess of the distribution function of the earlier builds' latencies over that of the
+            build's latencies.
         radius: Confidence radius of the gap.
-        outcome_count: Outcomes of the build.
-        baseline_outcome_count: Outcomes of earlier builds, in the classes that both have served.
+        outcome_count: Number of outcomes of the build, in the request classes that the build and earlier
+            builds have both served.
+        baseline_outcome_count: Number of outcomes of earlier builds in the same request classes.
         failure_evidence: Log evidence that the build fails more often than earlier builds.
-        failure_evidence_elsewhere: The same without the server that fails most, which may be at fault alone.
-        counted_failure_evidence: The same by release control's counts, which include losses on the network.
-        threshold: Log evidence that counts as proof.
+        failure_evidence_elsewhere: Log evidence that the build fails more often than earlier builds, without
+            the outcomes of the server that fails most, because that server alone may be defective.
+        counted_failure_evidence: Log evidence that the build fails more often than earlier builds, according
+            to release control's counts of attempts and failures, which include losses on the network.
+        threshold: Log evidence above which a difference between the builds counts as proven.
     """
 
     gap: float
@@ -55,7 +72,7 @@
 
 
 class Canary:
-    """One stage of a build, with the outcomes of this build and of earlier builds."""
+    """One release stage of a build, with the outcomes of this build and of earlier builds."""
 
     def __init__(
         self, router: Router, build: int, stage: int, phase: ReleasePhase, started_at: float
@@ -65,9 +82,10 @@
         self.stage = stage
         self.phase = phase
         self.started_at = started_at
-        self.outcomes: HistogramsByClass = {}  # of the build, in this stage
-        self.baseline: HistogramsByClass = {}  # of earlier builds, in this stage
-        self.long_baseline: HistogramsByClass = {}  # of earlier builds, over all stages
+        self.outcomes: HistogramsByClass = {}  # outcomes of the build in this stage
+        self.baseline: HistogramsByClass = {}  # outcomes of earlier builds in this stage
+        # Outcomes of earlier builds over all release stages of the build.
+        self.long_baseline: HistogramsByClass = {}
         self.finding = Verdict.NONE  # the verdict that this instance's own evidence supports
         self.ballot = Ballot(router)
         self.pause = PauseExperiment(router)
@@ -77,12 +95,12 @@
             self.pause.times_helped = previous.pause.times_helped
 
     def discard_evidence(self) -> None:
-        """Discard the stage's outcomes, as something other than the builds caused them."""
+        """Discard the outcomes of this stage because something other than the builds has caused them."""
         self.outcomes = {}
         self.baseline = {}
 
     def review(self) -> None:
-        """Evaluate the build if there are new outcomes, and cast the vote if it is due."""
+        """Evaluate the build if there are new outcomes, and cast this instance's vote on the build if due."""
         router = self.router
         if self.ballot.verdict is not Verdict.ROLL_BACK and router.observations.changed:
             self.finding = self.evaluate(self.settled())
@@ -92,10 +110,11 @@
         self.ballot.cast_if_due(self.build, self.stage)
 
     def evaluate(self, is_settled: bool) -> Verdict:
-        """Return the verdict that this instance's evidence supports.
+        """Return the verdict on the build that this instance's evidence supports.
 
         Args:
-            is_settled: Whether the stage's servers have settled, so that the build may be promoted.
+            is_settled: Whether the servers of the stage have run for the settling time, so that the build may
+                be promoted.
         """
         evidence = self.evidence()
         if self._must_roll_back(evidence):
@@ -148,8 +167,8 @@
         )
 
     def _must_roll_back(self, evidence: Evidence) -> bool:
-        # A stalled class occupies the servers and delays other classes as well. Where the delay shows on the
-        # new build only, it still isn't the build's fault.
+        # A stalled request class occupies the servers and delays other classes as well. Even if only the new
+        # build shows this delay, the delay is not caused by a defect of the build.
         if evidence.gap - evidence.radius > REJECTED_GAP and not self.router.stalls.any_stalled():
             return True
         if evidence.failure_evidence > evidence.threshold and evidence.failure_evidence_elsewhere > 0:
@@ -175,7 +194,7 @@
         )
 
     def _overall_slowdown(self) -> tuple[float, HistogramsByClass]:
-        """Return log evidence of a slowdown of attempts at all builds, and the outcomes that show it most."""
+        """Return the log evidence that all builds have slowed down, and the outcomes with most evidence."""
         observations = self.router.observations
         samples = [
             (log_evidence(observations.normal, sample, LATENCY_EDGES), sample)
@@ -184,11 +203,11 @@
         return max(samples, key=lambda pair: pair[0])
 
     def _can_pause(self) -> bool:
-        """Whether a pause may begin.
+        """Whether a pause of the build may begin.
 
-        The build must be on canary, and no pause in this stage may have failed. All other instances must
-        follow this instance's verdict: it is a judge, or there is no gossip. The servers of earlier builds
-        must be able to take over the build's load.
+        The build must be on canary, and the last pause in this stage must not have failed to end a slowdown.
+        This instance must be a judge, whose verdict all other instances follow, or the instances must not
+        exchange verdicts by gossip. The servers of earlier builds must be able to take over the build's load.
         """
         router = self.router
         is_authoritative = router.gossip.is_judge or not router.settings.gossip_enabled
@@ -200,13 +219,14 @@
         )
 
     def _warm_up_time(self) -> float:
-        """Seconds from a server's start after which the slow start no longer explains a slowdown."""
+        """Return the seconds from a server's start after which its slow start cannot explain a slowdown."""
         return min(STAGE_SETTLING_TIME, self.router.settings.slow_start_duration)
 
     def settled(self, settling_time: float = STAGE_SETTLING_TIME) -> bool:
-        """Whether all the stage's servers are listed and were started at least `settling_time` seconds ago.
+        """Whether all servers of the stage are ready and were started at least `settling_time` seconds ago.
 
-        Servers that are still missing after `STAGE_START_TIMEOUT` are not waited for any longer.
+        Servers that are still missing `STAGE_START_TIMEOUT` seconds after the start of the stage are no
+        longer waited for. The result is false if the build is not on canary.
         """
         ready = self.router.pool.ready
         settings = self.router.settings
--- a/stepsail/decisions/evidence.py
+++ b/stepsail/decisions/evidence.py
@@ -1,8 +1,8 @@
 """Sequential tests on latency distributions: is the new build worse than the earlier builds?
 
 The notation is that of the paper "Rapid Regression Detection in Software Deployments through Sequential
-Testing". Both tests may be evaluated after every outcome without raising the probability of a false
-rejection.
+Testing". Both tests, the confidence sequence and the mixture of likelihood ratios, may be evaluated after
+every outcome without raising the probability that a good build is rejected.
 """
 
 from __future__ import annotations
@@ -15,19 +15,23 @@
 from stepsail.decisions.histogram import EDGES, FAILURE_EDGE, HistogramsByClass
 
 ALPHA = 0.01  # probability of rejecting a good build
-TOLERATED_SLOWDOWN = 1.35  # factor; a build whose attempts take at most this much longer is not worse
+# A build does not count as worse than earlier builds if its attempts take at most this many times as long.
+TOLERATED_SLOWDOWN = 1.35
 TOLERATED_FAILURE_SHARE = 0.004  # share of attempts that may fail on any build
-# Alternative hypotheses of the mixture, as shares of attempts by which the new build is worse: from rare
-# faults to the failure of a whole class.
+# Alternative hypotheses in the mixture of likelihood ratios. Each is a share of attempts by which the new
+# build is worse than earlier builds, from rare failures to the failure of a whole request class.
 EXCESS_SHARES = (0.04, 0.12, 0.35, 0.75)
-MAX_BASELINE_SHARE = 0.99  # upper bound of the baseline's share; at 1 there is no likelihood ratio
+# Upper bound on the share of the earlier builds' attempts that exceed a bin edge of the latency histogram. At
+# a share of 1, the likelihood ratio is not defined.
+MAX_BASELINE_SHARE = 0.99
 
 
 def confidence_radius(n: float, alpha: float) -> float:
     """Return the half-width of the confidence sequence on a distribution function after `n` outcomes.
 
-    This is the bound of Howard and Ramdas, uniform over time and over all quantiles: equation 19 in section 4
-    of the paper.
+    This is the bound of Howard and Ramdas on the error of an empirical distribution function, which holds
+    uniformly over time and over all quantiles: equation 19 in section 4 of the paper "Rapid Regression
+    Detection in Software Deployments through Sequential Testing".
     """
     if n < 1:
         return 1.0
@@ -35,18 +39,21 @@
 
 
 class Gap(NamedTuple):
-    """The largest excess of the baseline's distribution function over the canary's, and the sample sizes."""
+    """The largest excess of the baseline's distribution function over the canary's, and the sample sizes.
+
+    The distribution functions are those of the attempt latencies.
+    """
 
     excess: float
-    n: float  # outcomes of the canary
-    m: float  # outcomes of the baseline
+    n: float  # number of outcomes of the canary
+    m: float  # number of outcomes of the baseline (earlier builds)
 
 
 def largest_gap(baseline: HistogramsByClass, canary: HistogramsByClass) -> Gap:
-    """Compare two builds in the classes that both have served.
+    """Compare the latencies of the baseline and the canary in the request classes that both have served.
 
-    Classes are weighted by their shares of the canary's outcomes, so that a different mix of classes causes
-    no gap.
+    Request classes are weighted by their shares of the canary's outcomes, so that a different mix of classes
+    alone causes no gap between the latency distributions.
     """
     shared_classes = _shared_classes(baseline, canary)
     n = sum(canary[c].count for c in shared_classes)
@@ -65,10 +72,12 @@
 def log_evidence(baseline: HistogramsByClass, canary: HistogramsByClass, edges: Sequence[int]) -> float:
     """Return the logarithm of a mixture of likelihood ratios, as evidence that the canary is worse.
 
-    The null hypothesis is that no larger share of the canary's attempts than of the baseline's passes the
-    edges. The test detects rare faults and the failure of a single class, for which the confidence sequence
-    is still too wide after one stage. The mixture runs over `edges` (indices) and `EXCESS_SHARES`. By Ville's
-    inequality, the probability that it ever exceeds 1/alpha is at most alpha.
+    The null hypothesis is that the share of attempts that exceed a bin edge of the latency histogram is no
+    larger for the canary than for the baseline. The test detects rare failures and the failure of a single
+    request class, for which the confidence sequence is still too wide after one release stage. The mixture
+    contains one likelihood ratio for each bin edge in `edges` (indices of bin edges) and each share in
+    `EXCESS_SHARES`. If the null hypothesis is true, then by Ville's inequality the probability that the
+    mixture ever exceeds 1/alpha is at most alpha.
     """
     shared_classes = _shared_classes(baseline, canary)
     if not shared_classes:
@@ -97,5 +106,5 @@
 
 
 def _shared_classes(baseline: HistogramsByClass, canary: HistogramsByClass) -> list[int]:
-    """Return the classes in which both builds have outcomes."""
+    """Return the indices of the request classes in which both the baseline and the canary have outcomes."""
     return [c for c in sorted(canary) if c in baseline and canary[c].count and baseline[c].count]
--- a/stepsail/decisions/voting.py
+++ b/stepsail/decisions/voting.py
@@ -1,9 +1,9 @@
-"""Decides when this instance casts, repeats or leaves to other instances its vote on the build on canary.
+"""Decides when this instance votes to promote or roll back the build on canary, and when it votes again.
 
 Hundreds of votes at once would exceed release control's rate limit, and late votes would count for the next
-stage. Where any single vote decides, the judges vote first, and the other instances vote only if the stage
-has not changed by then. Where a share of the votes decides, the votes are spread over the time that the rate
-limit requires.
+release stage. Where any single vote decides, the judges vote first, and the other instances vote only if the
+stage has not changed by then. Where a share of the instances' votes decides, the votes are spread over the
+time that the rate limit requires.
 """
 
 from __future__ import annotations
@@ -17,28 +17,38 @@
 if TYPE_CHECKING:
     from stepsail.decisions.router import Router
 
-RENEWAL_SHARE = 0.7  # share of a vote's time to live after which it is cast again
-RETRY_DELAY = 0.5  # s until a vote that was not counted, or not answered, is cast again
-BURST_TIME = 2.0  # s; as many votes as the rate limit allows in this time may be cast at once
-STANDBY_DELAY = 3.0  # s for which an instance waits for other instances to vote first
+# A vote on the build is cast again after this share of the vote's time to live.
+RENEWAL_SHARE = 0.7
+# Seconds until a vote on the build is cast again if release control has not counted or not answered it.
+RETRY_DELAY = 0.5
+# The instances may cast as many votes at once as release control's rate limit allows in this many seconds.
+BURST_TIME = 2.0
+# Where any single vote decides on the build, an instance that does not have to vote first waits this many
+# seconds for the votes of other instances.
+STANDBY_DELAY = 3.0
 
 
 class VotingRules:
-    """The votes that this instance may cast, given the instances present, the judges and release control."""
+    """The rules for this instance's votes to promote or roll back a build.
+
+    The rules follow from the instances present, the judges among them, and how release control decides.
+    """
 
     def __init__(self, router: Router) -> None:
         self.router = router
-        self.alpha = ALPHA  # this instance's share of the probability of a false rejection
+        # This instance's share of the tolerated probability that a good build is rejected.
+        self.alpha = ALPHA
         self.may_promote = True
-        self.spread = 0.0  # s over which the instances spread their votes
+        self.spread = 0.0  # seconds over which the instances spread their votes on a build
 
     def update(self) -> None:
-        """Recompute the rules for the instances and judges that are present now."""
+        """Recompute the voting rules from the instances and judges that are present now."""
         router = self.router
         settings = router.settings
         instance_count = router.position()[1]
-        # Where any single vote decides, the probabilities of a false vote add up over the instances, and only
-        # judges may promote, as only they have the outcomes of all instances.
+        # Where any single vote decides on the build, the probabilities of a wrong vote add up over the
+        # instances. Only judges may then vote to promote, because only judges have the outcomes of all
+        # instances.
         deciding_instances = (
             1 if settings.promotion_control is PromotionControl.VOTE_SHARE else instance_count
         )
@@ -49,23 +59,24 @@
 
 
 class Ballot:
-    """This instance's vote on one stage of a build."""
+    """This instance's vote to promote or roll back a build in one release stage."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
         self.verdict = Verdict.NONE
-        self.cast_at = 0.0  # when the vote was last cast; 0 if it never was
-        self.send_at = 0.0  # when the vote is cast next
-        self.paused_until = 0.0  # the build gets no attempts until then
+        self.cast_at = 0.0  # time at which the vote was last cast; 0 if the vote was never cast
+        self.send_at = 0.0  # time from which the vote is to be cast next
+        self.paused_until = 0.0  # time until which the build is paused and gets no attempts
 
     def adopt(self, verdict: Verdict, from_peer: bool) -> None:
-        """Adopt a verdict, this instance's own or a judge's, and schedule the vote for it."""
+        """Adopt a verdict on the build, from this instance or from a judge, and schedule the vote for it."""
         router = self.router
         now = router.host.clock
         if verdict is Verdict.PAUSE:
             self.paused_until = now + 2 * SEND_INTERVAL
             if self.verdict is Verdict.PROMOTE:
-                # All builds have slowed down since the vote to promote: it must be replaced.
+                # All builds have slowed down since this instance voted to promote the build, so its vote
+                # must be replaced.
                 self.verdict = verdict
                 self.send_at = now
         elif verdict not in (Verdict.NONE, self.verdict):
@@ -80,7 +91,7 @@
             self.send_at = now if is_first else now + delay
 
     def cast_if_due(self, build: int, stage: int) -> None:
-        """Cast the vote if it is due, and schedule the next cast in case no answer comes."""
+        """Cast the vote on the build if it is due, and schedule a repeat in case no answer arrives."""
         router = self.router
         now = router.host.clock
         if self.verdict is not Verdict.NONE and now >= self.send_at:
@@ -89,9 +100,10 @@
             self.send_at = now + router.settings.vote_timeout + RETRY_DELAY
 
     def acknowledged(self, receipt: VoteReceipt) -> None:
-        """Schedule the next cast after release control has answered a vote.
+        """Schedule when the vote is cast again, after release control has answered the vote.
 
-        A vote that was counted is renewed before it expires; any other is retried after a short delay.
+        A vote that was counted is renewed before it expires. A vote that was not counted is retried after a
+        short delay.
         """
         if not self.cast_at:
             return
