--- a/stepsail/consensus/bootstrap.py
+++ b/stepsail/consensus/bootstrap.py
@@ -16,7 +16,7 @@
     """Collects the storage identities of voters that ask to join.
 
     Attributes:
-        new_identities: Storage identity of each voter that sent a join request, by voter number.
+        new_identities: Maps the number of each voter that sent a join request to its storage identity.
     """
 
     def __init__(self, replica: ReplicaState, snapshots: SnapshotTransfer) -> None:
@@ -44,7 +44,7 @@
         elif replica.role is Role.LEADER and may_vote:
             self.snapshots.send(sender)
         elif replica.role is Role.LEADER:
-            # The host fetches it by `take_new_identities` and proposes a command that admits it.
+            # The host fetches the identity with `take_new_identities` and proposes a command that admits it.
             self.new_identities[sender] = request.identity
         elif may_vote and not replica.persistent.last_index:
             # The cluster has just been formed, but the sender missed the join request of some voter.
--- a/stepsail/consensus/election.py
+++ b/stepsail/consensus/election.py
@@ -49,7 +49,7 @@
     def handle_pre_vote_request(self, request: Message) -> None:
         """Grant a pre-vote if this replica would vote for the candidate.
 
-        It would not if it received a heartbeat from a leader within the minimum election timeout. The
+        This replica refuses if it received a heartbeat from a leader within the minimum election timeout. The
         response carries the voters' identities, which `handle_pre_vote_response` uses.
         """
         replica = self.replica
@@ -112,7 +112,10 @@
             self._check_majority()
 
     def is_up_to_date(self, request: Message) -> bool:
-        """Return whether the candidate's log is at least as up to date as this one (Raft, section 5.4.1)."""
+        """Return whether the candidate's log is at least as up to date as this replica's.
+
+        The comparison is that of Raft, section 5.4.1.
+        """
         persistent = self.replica.persistent
         return (request.log_term, request.log_index) >= (persistent.last_term, persistent.last_index)
 
--- a/stepsail/consensus/outbox.py
+++ b/stepsail/consensus/outbox.py
@@ -1,4 +1,4 @@
-"""Queues writes to stable storage, and messages that must not be sent before these are synced."""
+"""Queues writes to stable storage, and messages that must not be sent before those writes are synced."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingMessage:
-    """Holds a message that may be sent once the write with number `after_write` is synced (0: at once)."""
+    """Holds a message to send once write number `after_write` is synced; 0 means that it may go at once."""
 
     after_write: int
     to: int
--- a/stepsail/consensus/persistent_state.py
+++ b/stepsail/consensus/persistent_state.py
@@ -27,15 +27,15 @@
     """Holds the state that a replica must have on stable storage before it responds to a message.
 
     Attributes:
-        identity: Identity of this replica's storage: the time of its creation (ms). A replica that lost its
-            storage gets a new identity.
+        identity: Identity of this replica's storage: the time of its creation in milliseconds. A replica that
+            lost its storage gets a new identity.
         current_term: Latest term that the replica has seen.
         voted_for: Candidate that received the replica's vote in the current term, or `NO_VOTE`.
         snapshot_index: Index of the last log entry that the snapshot covers; 0 without a snapshot.
         snapshot_term: Term of the entry at `snapshot_index`.
         snapshot: State of the state machine after the entry at `snapshot_index`.
-        identities: Storage identity under which each voter may vote, by voter number; empty until the cluster
-            has been formed.
+        identities: Maps each voter's number to the storage identity under which it may vote; empty until the
+            cluster has been formed.
         identities_index: Log index of the entry that last changed `identities`.
         entries: Log entries after the snapshot.
     """
--- a/stepsail/consensus/raft_replica.py
+++ b/stepsail/consensus/raft_replica.py
@@ -33,7 +33,7 @@
     Log indices begin at 1.
 
     Attributes:
-        next_timeout: When the host must call `tick` at the latest (s).
+        next_timeout: Latest time at which the host must call `tick`, in seconds on the host's clock.
     """
 
     def __init__(
@@ -150,7 +150,7 @@
         return self.replication.append(data)
 
     def take_writes(self) -> list[StateWrite]:
-        """Return the writes to sync, in order.
+        """Return the writes that the caller must sync, in order.
 
         The caller must report the number of the last synced write by `writes_synced`.
         """
--- a/stepsail/consensus/replica_state.py
+++ b/stepsail/consensus/replica_state.py
@@ -15,7 +15,7 @@
 
 
 class Role(Enum):
-    """Lists Raft's roles, and one for a replica outside the cluster. The values are shown to operators."""
+    """Lists Raft's roles, and a role for a replica outside the cluster. The values are shown to operators."""
 
     JOINING = "new"  # the replica does not belong to a cluster yet, or its storage is new
     FOLLOWER = "follower"
@@ -34,14 +34,15 @@
         persistent: State that must be on stable storage; every change of it is queued in `outbox`.
         seed: Seed of the election timeouts.
         random_draws: Number of election timeouts drawn so far.
-        now: Time of the message or timeout that is being handled (s).
+        now: Time in seconds of the message or timeout that is being handled.
         role: The current role.
         leader: The leader of the current term; None if this replica does not know it.
         commit_index: Highest log index known to be committed.
         last_applied: Highest log index passed to the state machine.
-        last_heartbeat: When the last AppendEntries request was accepted from a leader (s).
-        election_deadline: When a follower or candidate starts an election if it receives no heartbeat (s).
-        heartbeat_due: When a leader sends the next heartbeat (s); infinite in all other roles.
+        last_heartbeat: Time in seconds at which the last AppendEntries request from a leader was accepted.
+        election_deadline: Time in seconds at which a follower or candidate starts an election if it receives
+            no heartbeat before then.
+        heartbeat_due: Time in seconds at which a leader sends the next heartbeat; infinite in other roles.
         outbox: Queue of writes and messages.
         pending_snapshot: Snapshot that the state machine must restore before it applies further entries;
             empty if there is none.
@@ -71,7 +72,7 @@
 
     @property
     def next_timeout(self) -> float:
-        """When the replica must act next unless it receives a message before (s)."""
+        """Time in seconds at which the replica must act next unless it receives a message before then."""
         due = self.heartbeat_due if self.role is Role.LEADER else self.election_deadline
         return max(self.now, due)
 
--- a/stepsail/consensus/replication.py
+++ b/stepsail/consensus/replication.py
@@ -18,9 +18,9 @@
     """Sends a replica's log to its followers while it leads, and appends a leader's entries while it follows.
 
     Attributes:
-        next_index: Index of the next log entry to send, by follower.
-        match_index: Index of the last log entry known to be on the follower's stable storage, by follower.
-        last_response: When this leader last received a response (s), by follower.
+        next_index: For each follower, index of the next log entry to send to it.
+        match_index: For each follower, index of the last log entry known to be on its stable storage.
+        last_response: For each follower, time in seconds at which this leader last received a response.
     """
 
     def __init__(self, replica: ReplicaState, snapshots: SnapshotTransfer) -> None:
@@ -57,7 +57,7 @@
         return replica.persistent.last_index
 
     def heartbeat(self) -> None:
-        """Send a heartbeat if one is due, or step down without recent responses from a majority.
+        """Send a heartbeat if one is due, or step down if a majority has not responded recently.
 
         Without this rule (check quorum), a leader whose messages reach the followers while it receives none
         of theirs could commit nothing, and its heartbeats would keep the followers from electing another
@@ -70,7 +70,7 @@
         if responsive_followers + 1 < replica.majority:
             replica.become_follower()
             replica.leader = None
-            # Longer than any election timeout, so that another replica starts an election first.
+            # This time is longer than any election timeout, so that another replica starts an election first.
             replica.election_deadline = replica.now + 2 * MAX_ELECTION_TIMEOUT
         elif replica.now >= replica.heartbeat_due:
             replica.heartbeat_due = replica.now + HEARTBEAT_INTERVAL
@@ -125,7 +125,7 @@
     def advance_commit_index(self) -> None:
         """Commit the entries that a majority has on stable storage.
 
-        The last of them must belong to the current term (Raft, section 5.4.2).
+        The last of these entries must belong to the current term (Raft, section 5.4.2).
         """
         replica = self.replica
         durable_indices = [
@@ -165,8 +165,8 @@
             self._respond(request, snapshot_index, success=True)
             return
         if replica.persistent.term_at(request.log_index) != request.log_term:
-            # The hint is the last entry of this log if it is shorter than the leader assumed, otherwise the
-            # entry one before the mismatch. The leader retries after it.
+            # The hint is the last index of this log if the log is shorter than the leader assumed, otherwise
+            # the index one before the mismatch. The leader retries from the entry after the hint.
             hint_index = min(replica.persistent.last_index, max(snapshot_index, request.log_index - 1))
             self._respond(request, hint_index, success=False)
             return
--- a/stepsail/consensus/snapshot.py
+++ b/stepsail/consensus/snapshot.py
@@ -17,7 +17,7 @@
         self.replica = replica
 
     def compact(self, snapshot: bytes) -> None:
-        """Replace the applied part of the log by a snapshot once it has `SNAPSHOT_THRESHOLD` entries."""
+        """Replace the log's applied entries with a snapshot once there are `SNAPSHOT_THRESHOLD` of them."""
         replica = self.replica
         persistent = replica.persistent
         if replica.last_applied - persistent.snapshot_index < SNAPSHOT_THRESHOLD:
@@ -38,7 +38,8 @@
         replica = self.replica
         persistent = replica.persistent
         if replica.pending_snapshot:
-            return  # this replica's own state machine has not restored the snapshot yet
+            # This replica's own state machine has not restored its pending snapshot yet.
+            return
         shared_state = msgspec.structs.replace(persistent, identity=0, current_term=0, voted_for=NO_VOTE)
         replica.send(
             to,
--- a/stepsail/consensus/state_file.py
+++ b/stepsail/consensus/state_file.py
@@ -74,7 +74,7 @@
         return state
 
     def replace(self, state: PersistentState) -> None:
-        """Write the whole state to a new file, rename it over the old one, and sync file and folder."""
+        """Write the whole state to a new file, rename it over the old file, and sync file and folder."""
         with self.new_path.open("wb") as new_file:
             new_file.write(encode_frame(STATE_FRAME, msgspec.msgpack.encode(state), 0, 0.0))
             new_file.flush()
@@ -112,8 +112,8 @@
                 file.flush()
                 os.fsync(file.fileno())
             except OSError:
-                # A full disk may leave an incomplete frame, which `read` would report as damage if others
-                # followed it.
+                # A full disk may leave an incomplete frame, which `read` would report as damage if
+                # other frames followed it.
                 os.truncate(self.path, size)
                 raise
         self.frame_count += len(appended)
--- a/stepsail/http/client_connection.py
+++ b/stepsail/http/client_connection.py
@@ -112,7 +112,7 @@
         Args:
             data: The encoded request, or the start of it if the rest of its body is in `body_stream`.
             deadline: Time on the loop's clock at which the exchange times out.
-            progress: Record to update during the exchange, also if the exchange fails.
+            progress: Record to update during the exchange, even if the exchange fails.
             no_body: Whether this is a HEAD request, whose response has no body.
             body_stream: The rest of the request's body.
             chunked: Whether `body_stream` is sent in the chunked transfer coding.
@@ -186,7 +186,8 @@
         try:
             return self.stream.read(max(0.0, deadline - self.loop.now()))
         except TimedOut:
-            # Bytes that became readable in the same iteration of the loop as the timeout still count.
+            # Bytes that became readable in the same iteration of the loop as the timeout are still
+            # accepted.
             data = self.stream.read_now()
             if data is None:
                 raise
@@ -205,7 +206,8 @@
             rest = rest[sent:]
             part = None if sent else self.stream.read_now()
             if part == b"":
-                return  # the server closed its side; `_read_response` evaluates what it sent before
+                # The server closed its side; `_read_response` evaluates the bytes that it sent before that.
+                return
             if part:
                 progress.read += len(part)
                 self.reader.feed(part)
--- a/stepsail/http/message.py
+++ b/stepsail/http/message.py
@@ -36,7 +36,7 @@
     """Reports received bytes that are not a valid message or exceed a limit.
 
     Attributes:
-        status: Status of the error response to a client; the text of the exception is the reason.
+        status: HTTP status of the error response to a client. The exception's text is the reason.
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/stepsail/http/reader.py
+++ b/stepsail/http/reader.py
@@ -21,9 +21,13 @@
 )
 from stepsail.http.strict import body_length, check_head
 
-MAX_CHUNK_OVERHEAD = 4  # bytes received for each byte of a chunked body; limits attacks with tiny chunks
-FREE_CHUNK_OVERHEAD = 65536  # bytes received that are allowed beyond that ratio
-MAX_EMPTY_LINES = 2  # that are skipped before a request (RFC 9112 section 2.2)
+# Largest number of bytes received per byte of content in a chunked body, beyond FREE_CHUNK_OVERHEAD. This
+# limits attacks with tiny chunks.
+MAX_CHUNK_OVERHEAD = 4
+# Number of bytes that a chunked body may take on the wire in addition to MAX_CHUNK_OVERHEAD times its size.
+FREE_CHUNK_OVERHEAD = 65536
+# Largest number of empty lines that are skipped before a request (RFC 9112 section 2.2).
+MAX_EMPTY_LINES = 2
 CR = 13
 
 
@@ -83,7 +87,8 @@
         self.parts: list[bytes] = []
         self.body_bytes = 0
         self.parser_finished = False  # the parser has reached the end of the message
-        self.overrun = False  # the parser has received the start of another message after that end
+        # The parser has received the start of another message after the end of this one.
+        self.overrun = False
         self.url = b""
         self.status = 0
         self.keep_alive = True
@@ -131,7 +136,7 @@
 
     @property
     def begun(self) -> bool:
-        """Whether any byte of an incomplete message or of a following one was received."""
+        """Whether any byte of an incomplete message, or of the message after a complete one, was received."""
         return bool(self.buffer) or self.state not in (HEAD, COMPLETE)
 
     def feed(self, data: bytes) -> None:
--- a/stepsail/http/server_connection.py
+++ b/stepsail/http/server_connection.py
@@ -1,4 +1,4 @@
-"""Server side of an HTTP connection: reads one request at a time; later ones wait in the receive buffer."""
+"""Server side of an HTTP connection: reads one request at a time; later requests wait in a buffer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestBodyStream:
-    """Streams the rest of a request's body; once reading has started, it can be sent to one server only."""
+    """Streams the rest of a request's body; once reading has begun, only one server can receive it."""
 
     def __init__(self, connection: ServerConnection) -> None:
         self.connection = connection
@@ -97,7 +97,8 @@
                 max(0.0, deadline - self.loop.now()) if deadline else self.limits.idle_timeout
             )
         except TimedOut:
-            # Bytes that became readable in the same iteration of the loop as the timeout still count.
+            # Bytes that became readable in the same iteration of the loop as the timeout are still
+            # accepted.
             data = self.stream.read_now()
             if data is None and self.reader.begun:
                 raise InvalidMessage(408, "a request took too long to arrive") from None
@@ -119,7 +120,7 @@
         """Read the bytes that have arrived, until MAX_PIPELINED bytes are buffered.
 
         Returns:
-            False if the client has closed its side, also if unread pipelined bytes precede the close.
+            False if the client has closed its side, even if bytes that it sent before are still unread.
 
         Raises:
             OSError: The connection failed.
@@ -133,8 +134,8 @@
         return not (self.half_closed or self.stream.peer_closed())
 
     def is_quiet(self) -> bool:
-        """Return whether no byte of a request has arrived, read or unread.
+        """Return whether no byte of a request has arrived, whether read or still unread.
 
-        Only then may the connection be closed.
+        The connection may be closed only while this is true.
         """
         return not (self.reader.begun or self.stream.readable())
--- a/stepsail/loop/driver.py
+++ b/stepsail/loop/driver.py
@@ -10,8 +10,10 @@
 
 from stepsail.loop.waiting import Wakeable
 
-READ = 1  # direction of a wait that ends when bytes, a connection, the end of the stream or an error arrive
-WRITE = 2  # direction of a wait that ends when the send buffer has room or a connect has completed
+# Direction of a wait that ends when bytes, a connection, the end of the stream or an error arrive.
+READ = 1
+# Direction of a wait that ends when the send buffer has room or a connect has succeeded or failed.
+WRITE = 2
 Address = tuple[str, int]
 
 
@@ -24,7 +26,7 @@
         """Return the next connection of a listening port and the address of its peer."""
 
     def stop_handshakes(self) -> None:
-        """Refuse new connections on a listening port; those whose handshake has begun can still be accepted.
+        """Refuse new connections on a listening port; `accept` still returns those whose handshake has begun.
 
         Raises:
             OSError: The system does not support this.
@@ -55,7 +57,7 @@
         """Return the address that the port is bound to."""
 
     def seconds_since_receive(self) -> float:
-        """Return the seconds since the last bytes arrived on the host, read or not.
+        """Return the seconds since the last bytes arrived on the host, whether or not they have been read.
 
         Unlike the time of the read, this includes the time during which this process was paused.
         """
@@ -95,7 +97,10 @@
         """Return whether the peer has closed its end or is gone, even if earlier bytes are still unread."""
 
     def close(self, port: Port) -> None:
-        """Close a port and raise Closed in the tasks that wait on it; its number may be reused at once."""
+        """Close a port and raise Closed in the tasks that wait on it.
+
+        The system may reuse the port's descriptor number at once.
+        """
 
     def listen(self, address: Address, backlog: int) -> Port:
         """Create a port that accepts connections."""
--- a/stepsail/loop/errors.py
+++ b/stepsail/loop/errors.py
@@ -20,7 +20,7 @@
 
 
 class Closed(LoopError):
-    """The port or channel was already closed, or was closed during the wait, by this task or another."""
+    """The port or channel was closed before or during the wait, by this task or another task."""
 
 
 class Cancelled(BaseException):
--- a/stepsail/loop/poll.py
+++ b/stepsail/loop/poll.py
@@ -22,7 +22,8 @@
 POLL_EVENTS = {READ: select.POLLIN | select.POLLPRI, WRITE: select.POLLOUT}
 # These events wake every waiter; a reader gets the unread data first.
 HANGUP_EVENTS = select.POLLHUP | select.POLLERR | select.POLLNVAL
-POLL_RETRY_PAUSE = 0.005  # s to wait after a poll that failed; without it the loop would spin
+# Seconds to wait after a poll that failed; without this pause the loop would retry in a busy loop.
+POLL_RETRY_PAUSE = 0.005
 
 
 class PollDriver:
@@ -33,9 +34,10 @@
 
     def __init__(self) -> None:
         self.poller = select.poll()
-        self.ports: dict[int, SocketPort] = {}  # ports registered with the poller, by descriptor
+        # Maps file descriptors to the ports registered with the poller.
+        self.ports: dict[int, SocketPort] = {}
         self.signal_callbacks: dict[int, Callable[[], object]] = {}
-        # A pipe rather than a socket pair, as a platform may support no sockets other than IPv4.
+        # This is a pipe rather than a socket pair because a platform may support only IPv4 sockets.
         self.wakeup_read_fd, self.wakeup_write_fd = os.pipe()
         os.set_blocking(self.wakeup_write_fd, False)
         os.set_blocking(self.wakeup_read_fd, False)
@@ -68,9 +70,9 @@
                     woken = waiters.pop(direction).wake(direction)
             if not woken:
                 # No task waits for this event. Unless the registration is updated, a peer that has hung up
-                # would end every poll at once. After a wake-up the port stays registered, as the same wait
-                # usually follows: each change of a registration makes `select.poll` rebuild its table for the
-                # next poll.
+                # would end every poll at once. After a wake-up the port stays registered, because the same
+                # wait usually follows, and each change of a registration makes `select.poll` rebuild its
+                # table for the next poll.
                 self._register(port)
 
     def _poll_ready(self, milliseconds: float | None) -> list[tuple[int, int]]:
@@ -98,7 +100,8 @@
         The queue has no bound of its own: callers limit how many callbacks they have outstanding.
         """
         self.posted_callbacks.append(callback)
-        with contextlib.suppress(BlockingIOError, OSError):  # a full pipe wakes the loop anyway
+        # If the pipe is full, this write fails, but the bytes already in the pipe wake the loop.
+        with contextlib.suppress(BlockingIOError, OSError):
             os.write(self.wakeup_write_fd, b"\0")
 
     def run_blocking(self, function: Callable[[], object]) -> None:
@@ -177,7 +180,8 @@
         if port.closed:
             return
         port.closed = True
-        if port.mask:  # before the next open can reuse the descriptor's number
+        # The port is unregistered before the next open can reuse the descriptor's number.
+        if port.mask:
             self.poller.unregister(port.fd)
             self.ports.pop(port.fd, None)
         with contextlib.suppress(OSError):  # the descriptor is closed even if close fails (close(2))
--- a/stepsail/loop/scheduler.py
+++ b/stepsail/loop/scheduler.py
@@ -15,9 +15,12 @@
 from stepsail.loop.tasks import Task, Timeout, Waiter
 from stepsail.loop.timers import Timer, Timers
 
-MAX_OPS_WITHOUT_WAIT = 16  # consecutive operations without a wait, after which a task yields to the others
-SLOW_TURN = 0.1  # s; a turn of a task, or a timer, that takes longer is reported
-MAX_TASKS = 100_000  # live tasks; beyond that, `spawn` raises an error
+# Number of consecutive operations without a wait after which a task yields to the other tasks.
+MAX_OPS_WITHOUT_WAIT = 16
+# Seconds; a turn of a task or a timer's callback that takes longer than this is reported as slow.
+SLOW_TURN = 0.1
+# Largest number of live tasks; when this many are alive, `spawn` raises an error.
+MAX_TASKS = 100_000
 
 
 class Loop:
@@ -142,7 +145,7 @@
         self.report("task_slow", task=name, seconds=round(seconds, 3))
 
     def task_failed(self, task: Task, error: BaseException) -> None:
-        """Stop the loop if the failed task is essential; else report its error, unless it has a joiner."""
+        """Stop the loop if the failed task is essential; otherwise report its error if no task joins it."""
         if task.essential:
             self.fatal = error
         elif not task.joiners:
--- a/stepsail/loop/skew.py
+++ b/stepsail/loop/skew.py
@@ -1,4 +1,4 @@
-"""Clocks that run fast or slow and jump, by which rehearsals test how a process copes with a wrong clock."""
+"""Clocks that run fast or slow and jump. Rehearsals use them to test a process whose clock is wrong."""
 
 from __future__ import annotations
 
@@ -9,7 +9,9 @@
 from stepsail.loop.poll import PollDriver
 
 SKEW_PATTERN = re.compile(r"(\d+(?:\.\d+)?),(-?\d+(?:\.\d+)?)@(\d+(?:\.\d+)?)")
-MIN_RATE = 0.1  # seconds of the skewed clock per true second
+# Smallest allowed rate of a skewed clock, in seconds of that clock per true second.
+MIN_RATE = 0.1
+# Largest allowed rate of a skewed clock, in seconds of that clock per true second.
 MAX_RATE = 10.0
 
 
@@ -41,7 +43,7 @@
         """Parse RATE,BY@AT: the rate, the jump and its time, such as 1.05,-3@20.
 
         Raises:
-            ValueError: The text has another form, or the rate is out of bounds.
+            ValueError: The text has another form, or the rate is outside MIN_RATE to MAX_RATE.
         """
         match = SKEW_PATTERN.fullmatch(text)
         if not match or not MIN_RATE <= float(match[1]) <= MAX_RATE:
--- a/stepsail/loop/socket_port.py
+++ b/stepsail/loop/socket_port.py
@@ -15,7 +15,8 @@
 from stepsail.loop.waiting import WaitingPort
 
 WOULD_BLOCK = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
-# Errors of accept(2) for a connection that ended before it was accepted; the backlog may hold others.
+# Errors of accept(2) for a connection that ended before it was accepted; the backlog may hold other
+# connections.
 ENDED_BEFORE_ACCEPT = frozenset(
     (
         errno.ECONNABORTED,
@@ -33,11 +34,12 @@
 )
 # Errors of recv, send and poll if the system is out of memory: transient, and not caused by the peer.
 OUT_OF_MEMORY = frozenset((errno.ENOMEM, errno.ENOBUFS))
-# Ended connections that one call to accept skips; at the next one it raises the error, so that the other
-# tasks can run.
+# Number of ended connections that one call to `accept` skips. At the next ended connection the call raises
+# the error, so that the other tasks can run.
 MAX_ACCEPT_ERRORS = 64
 TCP_INFO_SIZE = 64  # bytes of struct tcp_info (linux/tcp.h) to request
-LAST_DATA_RECEIVED_OFFSET = 52  # offset of its field tcpi_last_data_recv, in ms
+# Offset in bytes of the field tcpi_last_data_recv in struct tcp_info; the field's value is in milliseconds.
+LAST_DATA_RECEIVED_OFFSET = 52
 LAST_DATA_RECEIVED = struct.Struct("I")
 SO_BINDTOIFINDEX = 62  # asm-generic/socket.h, since Linux 5.1; the socket module lacks it
 NONEXISTENT_INTERFACE_INDEX = 0x7FFFFFFF  # no interface has this index: they are numbered from 1 up
@@ -106,7 +108,8 @@
             data, peer = self.sock.recvfrom(max_bytes)
         except (BlockingIOError, InterruptedError):
             return None
-        except ConnectionError:  # an earlier datagram of this socket was refused; loss is allowed
+        # An earlier datagram sent from this socket was refused; datagrams may be lost, so this is ignored.
+        except ConnectionError:
             return None
         return data, (peer[0], peer[1])
 
--- a/stepsail/loop/stream.py
+++ b/stepsail/loop/stream.py
@@ -12,11 +12,14 @@
 from stepsail.loop.tasks import Waiter
 
 MAX_READ = 65536  # bytes per read
-# s to wait after an accept that failed because descriptors or memory ran out; without it, accept would spin.
+# Seconds to wait after an accept that failed because descriptors or memory ran out. Without this pause the
+# accepting task would retry in a busy loop.
 ACCEPT_PAUSE = 0.05
 BACKLOG = 1024  # connections that the system queues for accept
-HANDSHAKE_TIME = 0.01  # s for handshakes that have begun to complete: a few round trips to a client
-# s between attempts to make room for a waiting connection by closing another, if none ends by itself.
+# Seconds allowed for the completion of handshakes that have begun: a few round trips to a client.
+HANDSHAKE_TIME = 0.01
+# Seconds between attempts to make room for a waiting connection by closing an open one, while no open
+# connection ends by itself.
 ROOM_CHECK_INTERVAL = 0.02
 
 
@@ -77,7 +80,7 @@
             rest = rest[count:]
 
     def seconds_since_receive(self) -> float:
-        """Return the seconds since the last bytes arrived, read or not; 0 if the system reports none."""
+        """Return the seconds since the last bytes arrived, even unread ones; 0 if the system cannot tell."""
         try:
             return self.port.seconds_since_receive()
         except OSError:
@@ -144,8 +147,8 @@
 class Listener:
     """Accepts streams and handles each in a task of its own.
 
-    Bound: at most `max_connections` are open at once. Further ones wait in the backlog until an open one
-    ends, or until `make_room` closes one. `make_room` returns whether it did.
+    Bound: at most `max_connections` connections are open at once. Further connections wait in the backlog
+    until an open connection ends or `make_room` closes one. `make_room` returns whether it closed one.
     """
 
     def __init__(
@@ -265,7 +268,8 @@
         try:
             handle(stream)
         except (OSError, Closed):
-            pass  # caused by the peer; the handler has reported it where needed
+            # The peer caused this error, and the handler has reported it where needed.
+            pass
         finally:
             stream.close()
             self.open_streams.pop(stream, None)
--- a/stepsail/loop/sync.py
+++ b/stepsail/loop/sync.py
@@ -74,7 +74,8 @@
             try:
                 self.loop.park(waiter, "free space in a channel", timeout)
             except BaseException:
-                if waiter.done:  # woken and cancelled in one round: its space goes to the next putter
+                # If this task was woken and cancelled in one round, the next waiting putter gets the space.
+                if waiter.done:
                     self._wake_next(self.putters)
                 raise
 
--- a/stepsail/loop/tasks.py
+++ b/stepsail/loop/tasks.py
@@ -12,7 +12,8 @@
 from stepsail.loop.errors import Cancelled, CleanupExpired, TimedOut
 from stepsail.loop.timers import Timer
 
-CLEANUP_SECONDS = 5.0  # for which a cancelled task may still wait in its cleanup
+# Seconds for which a cancelled task may still wait in its cleanup.
+CLEANUP_SECONDS = 5.0
 
 
 class Scheduler(Protocol):
--- a/stepsail/loop/timers.py
+++ b/stepsail/loop/timers.py
@@ -9,7 +9,7 @@
 from heapq import heapify, heappop, heappush
 from itertools import count
 
-# Up to this many cancelled timers stay in the heap, as sweeping so few costs more than keeping them.
+# Up to this many cancelled timers stay in the heap, because to remove so few costs more than to keep them.
 MIN_CANCELLED_TO_SWEEP = 64
 
 
@@ -64,7 +64,7 @@
         return self.heap[0][0] if self.heap else None
 
     def pop_due(self, now: float) -> list[Callable[[], object]]:
-        """Remove the timers that are due, also those set for the past; return their callbacks in order."""
+        """Remove the timers due at or before `now`; return their callbacks, sorted by due time."""
         callbacks: list[Callable[[], object]] = []
         while (when := self.next_due_time()) is not None and when <= now:
             timer = heappop(self.heap)[2]
--- a/stepsail/policy/commands.py
+++ b/stepsail/policy/commands.py
@@ -16,7 +16,7 @@
         text: Text of the policy.
         author: Who proposed it.
         reason: Why it was proposed.
-        timeout: Seconds until the proposal is aborted; 0: DEFAULT_PROPOSAL_TIMEOUT.
+        timeout: Seconds until the proposal is aborted; 0 stands for DEFAULT_PROPOSAL_TIMEOUT.
     """
 
     version: int = msgspec.field(name="number")
@@ -49,7 +49,7 @@
 
 
 class RemoveMember(msgspec.Struct, frozen=True, tag="strike"):
-    """Removes a process that accepts no more requests from the members."""
+    """Removes from the members a process that accepts no more requests."""
 
     instance: int = msgspec.field(name="number")
     incarnation: int = msgspec.field(name="start")
--- a/stepsail/policy/coordinator.py
+++ b/stepsail/policy/coordinator.py
@@ -32,12 +32,13 @@
         append: Appends data to the replicated log and returns its index; None if this voter does not lead.
         is_leader: Whether this voter is the leader, which coordinates the pending proposal.
         proposal_version: Version of the proposal that this voter coordinates; 0 if there is none.
-        abort_at: Time at which the proposal is aborted (s).
-        prepare_at: Time of the next PREPARE to the members that have not prepared the proposal (s).
-        next_timeout: Time by which `tick` has to be called (s).
+        abort_at: Time in seconds at which the proposal is aborted if it is still pending.
+        prepare_at: Time in seconds of the next PREPARE to the members that have not prepared the proposal.
+        next_timeout: Time in seconds by which `tick` has to be called.
         prepared: Instance number and incarnation of each member that has prepared the proposal.
         outcome_proposed: Whether the commit or abort has been appended to the log and is not applied yet.
-        deferred_admissions: Admissions that are appended after the proposal is finished, by instance number.
+        deferred_admissions: Maps instance numbers to admissions that are appended to the log after the
+            pending proposal is finished.
     """
 
     def __init__(self, state_machine: PolicyStateMachine, append: Callable[[bytes], int | None]) -> None:
@@ -112,7 +113,7 @@
         """Handle a message of a participant.
 
         Only a status request may come from a process that is not a member. Other messages of such a process
-        are dropped, and so are answers about another proposal than the current one.
+        are dropped. Answers about a proposal other than the current one are dropped too.
         """
         if message.kind is MessageKind.STATUS_REQUEST:
             self._answer_status(message)
@@ -207,9 +208,9 @@
             )
 
     def _admit(self, command: AdmitMember) -> None:
-        """Append an admission now or, if a proposal is pending, after it is finished.
+        """Append an admission now or, if a proposal is pending, after that proposal is finished.
 
-        Only the leader does so.
+        Only the leader appends admissions; other voters ignore the command.
         """
         if self.is_leader and self.state_machine.state.pending is None:
             self._append(command)
@@ -217,7 +218,7 @@
             self.deferred_admissions[command.instance] = command
 
     def _announce_outcome(self, version: int) -> None:
-        """Send the outcome to all members; a member that does not receive it asks for it."""
+        """Send a proposal's outcome to all members; a member that does not receive it asks for it."""
         state = self.state_machine.state
         committed = self.state_machine.outcome(version)
         for instance in sorted(self.state_machine.members):
--- a/stepsail/policy/messages.py
+++ b/stepsail/policy/messages.py
@@ -25,7 +25,8 @@
     # for the outcome of the proposal `policy_version`.
     STATUS_REQUEST = 0
     ADMITTED = 1  # carries the policy in force
-    STALE_INCARNATION = 2  # the participant has to ask again with a higher incarnation than this one
+    # The participant has to ask again with a higher incarnation than the one in this message.
+    STALE_INCARNATION = 2
     PREPARE = 3
     PREPARED = 4
     REFUSED = 5  # the participant cannot use the policy; `text` is the reason
@@ -45,8 +46,9 @@
         version: Version of the message format.
         kind: Kind of the message.
         instance: Instance number of the participant that sends or receives the message.
-        incarnation: Incarnation of that participant's process: its start time (ms), or a higher number if
-            an earlier process of the instance had that one. In STALE_INCARNATION: the admitted incarnation.
+        incarnation: Incarnation of that participant's process: its start time in milliseconds, or a higher
+            number if an earlier process of the instance had that number. In
+            STALE_INCARNATION: the admitted incarnation.
         policy_version: Version of the policy that the message refers to; 0 in a request for admission.
         text: Text of the policy; in REFUSED, the reason of the refusal.
         host: Host of the participant's address.
--- a/stepsail/policy/participant.py
+++ b/stepsail/policy/participant.py
@@ -39,10 +39,10 @@
             raised until the process is admitted.
         version: Version of the policy in use.
         text: Text of the policy in use.
-        prepared: The prepared policy, which may replace the one in use; None if there is none.
-        valid_until: Time on this process's clock at which the policy in use expires unless the outcome of the
-            prepared one is learned before (s).
-        next_timeout: Time by which `tick` has to be called (s).
+        prepared: The prepared policy, which may replace the policy in use; None if no policy is prepared.
+        valid_until: Time in seconds on this process's clock at which the policy in use expires, unless the
+            outcome of the prepared policy is learned before.
+        next_timeout: Time in seconds by which `tick` has to be called.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         self.next_timeout = self.retry_at if self._waits_for_answer() else inf
 
     def receive(self, message: Message, voter: int, now: float) -> None:
-        """Handle a message of a voter; ignore it if it is for another incarnation or has outdated content."""
+        """Handle a voter's message; ignore a message for another incarnation or with outdated content."""
         self.now = max(self.now, now)
         if message.instance != self.instance or self.left:
             return
@@ -195,7 +195,7 @@
             self._use(self.version, self.text)
 
     def _use(self, version: int, text: str) -> None:
-        """Use a policy from now on; while a later one is prepared, `valid_until` still applies."""
+        """Use a policy from now on; while a later policy is prepared, `valid_until` still applies."""
         self.version = version
         self.text = text
         self.retry_interval = MIN_RETRY_INTERVAL
--- a/stepsail/policy/state_machine.py
+++ b/stepsail/policy/state_machine.py
@@ -44,11 +44,11 @@
     """The state of the state machine. The encoded names are part of the snapshot format.
 
     Attributes:
-        version: Version of the policy in force; 0 before the first one.
+        version: Version of the policy in force; 0 before the first policy is committed.
         text: Text of the policy in force.
         latest_version: Highest version proposed so far; versions of aborted proposals are not reused.
         pending: The proposal that is neither committed nor aborted yet; None if there is none.
-        members: The processes that may accept requests, by instance number.
+        members: Maps instance numbers to the processes that may accept requests.
         finished: The outcomes of the last finished proposals, oldest first.
     """
 
@@ -70,7 +70,7 @@
         self.state = PolicyState()
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with the state in a snapshot."""
         self.state = STATE_DECODER.decode(snapshot)
 
     def snapshot(self) -> bytes:
@@ -79,7 +79,7 @@
 
     @property
     def members(self) -> Mapping[int, Member]:
-        """The processes that may accept requests, by instance number."""
+        """Mapping of instance numbers to the processes that may accept requests."""
         return self.state.members
 
     def incarnation_of(self, instance: int) -> int:
