--- a/stepsail/capture/blocks.py
+++ b/stepsail/capture/blocks.py
@@ -25,7 +25,8 @@
 TITLE_PREFIX = b"stepsail capture "
 TITLE = TITLE_PREFIX + b"%d\n"
 MAX_TITLE_BYTES = 64
-MAX_BLOCK_BYTES = 64 << 20  # uncompressed; a block whose header states more is damaged
+# Maximum uncompressed size of a block. A block whose header states a larger size is damaged.
+MAX_BLOCK_BYTES = 64 << 20
 COMPRESSION_LEVEL = 3
 
 
@@ -54,7 +55,7 @@
         meta: The segment's header.
         blocks: All blocks, including the header and the index.
         sealed: Whether the segment was closed, so that it ends with an index.
-        torn_at: Offset at which an incomplete block begins that a crash cut short; None: there is none.
+        torn_at: Offset at which a block begins that a crash cut short; None if no block was cut short.
     """
 
     file: Path
@@ -74,14 +75,17 @@
             raise DamagedFileError(self.file, block.offset, str(error)) from None
 
     def snapshot(self) -> bytes | None:
-        """Return the snapshot of the router at the segment's start; None if the router was created there."""
+        """Return the snapshot of the router at the segment's start.
+
+        Returns None if the segment begins with the creation of the router.
+        """
         return next((self.payload(block) for block in self.blocks if block.kind == BlockKind.SNAPSHOT), None)
 
     def entries(self, since: float | None = None) -> Iterator[tuple[int, Entry]]:
         """Yield the entries with their numbers.
 
         Args:
-            since: Clock reading. Blocks before the one that contains it are skipped without being
+            since: Clock reading. Blocks before the block that contains this time are skipped without being
                 uncompressed, so the first entries yielded may still be earlier. None: all entries.
 
         Raises:
@@ -112,7 +116,10 @@
 
 
 def read_segment(file: Path) -> Segment:
-    """Read a segment and verify its checksums; a torn tail is no damage. Raises DamagedFileError, OSError."""
+    """Read a segment and verify its checksums. Raises DamagedFileError, OSError.
+
+    An incomplete block at the end of the file is not treated as damage.
+    """
     data = file.read_bytes()
     title = data[: data.find(b"\n", 0, MAX_TITLE_BYTES) + 1]
     versions = {TITLE % version: version for version in range(OLDEST_VERSION, VERSION + 1)}
@@ -143,7 +150,7 @@
 
 
 def _add_block(segment: Segment, block: Frame) -> None:
-    """Append the next block to a segment. Raises DamagedFileError if it must not occur there."""
+    """Append the next block to a segment. Raises DamagedFileError if the block is not allowed there."""
     if segment.sealed:
         raise DamagedFileError(segment.file, block.offset, "the file continues after the index")
     if block.kind == BlockKind.META:
--- a/stepsail/capture/entries.py
+++ b/stepsail/capture/entries.py
@@ -67,7 +67,7 @@
     Event.RELEASE_STATE_RECEIVED: ("age", "exposure_limit", "build", "stage", "phase"),
     Event.RELEASE_COUNTS_RECEIVED: ("build", "request_class", "count", "failed", "mean", "age"),
     Event.VOTE_ACKNOWLEDGED: ("receipt",),
-    # The earliest captures have no `age`.
+    # In the earliest captures, this event has no value `age`.
     Event.REQUEST_ACCEPTED: (
         "number",
         "request_class",
@@ -107,7 +107,7 @@
 
 
 class Entry(NamedTuple):
-    """One call to the router. A command is its kind followed by its values; `error` is empty if none."""
+    """One call to the router. A command is its kind, then its values; `error` is empty if none was raised."""
 
     kind: int
     clock: float
@@ -124,7 +124,10 @@
 
 
 def entry_lines(entry: Entry, servers: list[str] | None = None) -> list[str]:
-    """Format an entry as lines: the event, then the commands. `servers` are addresses by server number."""
+    """Format an entry as lines: the event, then the commands.
+
+    `servers` is the list of server addresses; its index is the server number.
+    """
     event = Event(entry.kind)
     values = _values_text(EVENT_FIELDS[event], entry.values, servers)
     lines = [f"{entry.clock:.6f} {event.name.lower()} {values}".rstrip()]
--- a/stepsail/capture/explain.py
+++ b/stepsail/capture/explain.py
@@ -1,4 +1,4 @@
-"""Explains decisions of the router by the evidence that it had, which is read from its state in a replay.
+"""Explains decisions of the router: shows the evidence that the router had, read from its state in a replay.
 
 The evidence is read from the router's own objects and functions; nothing here computes a decision anew.
 """
@@ -50,7 +50,7 @@
 
 
 def canary_lines(host: ReplayHost) -> list[str]:
-    """Describe the evidence about the build on canary so far, and the thresholds of its verdict."""
+    """Describe the evidence so far about the build on canary, and the thresholds for its verdict."""
     router = host.router
     canary = router.canary
     if canary is None:
@@ -76,7 +76,7 @@
 
 
 def concerns_request(number: int, entry: Entry) -> bool:
-    """Whether an entry has an event or a command of the request with this number."""
+    """Return whether an event or a command in an entry concerns the request with this number."""
     if (
         entry.kind in (Event.REQUEST_ACCEPTED, Event.ATTEMPT_ENDED, Event.CLIENT_DISCONNECTED)
         and entry.values[0] == number
@@ -87,7 +87,7 @@
 
 
 def is_vote(entry: Entry) -> bool:
-    """Whether the router cast a vote in an entry."""
+    """Return whether an entry contains the router's command to cast a vote about a build."""
     return any(command[0] == Command.CAST_VOTE for command in entry.commands)
 
 
@@ -95,8 +95,8 @@
     """An observer of a replay that collects the evidence behind selected decisions.
 
     Attributes:
-        request: Number of the request whose entries are explained; None: no request is.
-        vote: Index, from 0, of the vote that is explained; None: no vote is.
+        request: Number of the request whose entries are explained; None if no request is selected.
+        vote: Index, from 0, of the vote that is explained; None if no vote is selected.
         votes_seen: Number of votes in the entries so far.
         explanations: For each explained entry: its number, lines of text, and a table of the servers.
     """
@@ -108,7 +108,7 @@
         self.explanations: list[tuple[int, list[str], list[Row]]] = []
 
     def __call__(self, number: int, entry: Entry, host: ReplayHost) -> None:
-        """Collect evidence before an entry is fed: the router still has the state that it decides on."""
+        """Collect evidence before an entry is fed, while the router has the state on which it will decide."""
         selected = self.request is not None and concerns_request(self.request, entry)
         if is_vote(entry):
             selected |= self.vote == self.votes_seen
--- a/stepsail/capture/folder.py
+++ b/stepsail/capture/folder.py
@@ -18,7 +18,8 @@
 from stepsail.capture.segment_writer import FILE_MODE, SUFFIX
 from stepsail.store.frames import DamagedFileError, join_entries
 
-MAX_BLOCK_BYTES = 256 << 10  # uncompressed; at this size, `write_segment` ends a block of entries
+# Uncompressed size at which `write_segment` ends a block of entries.
+MAX_BLOCK_BYTES = 256 << 10
 
 
 class NoEntriesInPeriodError(ReplayError):
@@ -37,7 +38,10 @@
     segments: list[Segment] = field(default_factory=list)
 
     def contiguous_segments(self) -> Iterator[list[Segment]]:
-        """Yield lists of segments without a gap between them; each list begins with a start or a snapshot."""
+        """Yield lists of segments without a gap between them.
+
+        Each list begins with a router's start or a snapshot.
+        """
         segments: list[Segment] = []
         expected = -1
         for segment in self.segments:
--- a/stepsail/capture/other_builds.py
+++ b/stepsail/capture/other_builds.py
@@ -1,6 +1,7 @@
 """Loads another build of the `decisions` package, from a folder or a single file, to replay captures with.
 
-The other build uses the running program's `stepsail.decisions.interface`, as host and router share its types.
+The other build uses the running program's `stepsail.decisions.interface`, because the host and the router
+share the types of this module.
 """
 
 from __future__ import annotations
@@ -67,7 +68,10 @@
 
 @contextmanager
 def _package_replaced() -> Iterator[None]:
-    """Remove the package's modules from `sys.modules`, to import another build, and restore them on exit."""
+    """Remove the package's modules from `sys.modules`, and restore them on exit.
+
+    Another build of the package can be imported in between.
+    """
 
     def imported_modules() -> list[str]:
         """Return the names of the package's modules that are imported."""
--- a/stepsail/capture/recorded_handles.py
+++ b/stepsail/capture/recorded_handles.py
@@ -8,7 +8,8 @@
 from stepsail.capture.entries import Event, Values
 from stepsail.decisions.interface import AttemptOutcome, RejectionReason, RequestHandle, ServerHandle
 
-# Plain integers, as enum members take longer to look up and to encode, and every recorded call needs one.
+# These are plain integers because every recorded call needs an event number, and enum members take longer
+# to look up and to encode.
 ENDPOINT_UPDATED = int(Event.ENDPOINT_UPDATED)
 HEALTH_CHECK_FINISHED = int(Event.HEALTH_CHECK_FINISHED)
 ANSWER_DISPUTED = int(Event.ANSWER_DISPUTED)
@@ -92,7 +93,7 @@
         self.recorder.forget_if_finished(self)
 
     def attempt_still_allowed(self, attempt: int) -> bool:
-        """See `RequestHandle.attempt_still_allowed`. Not recorded, as it changes no state of the router."""
+        """See `RequestHandle.attempt_still_allowed`. Not recorded, because it changes no router state."""
         return self.real.attempt_still_allowed(attempt)
 
     def client_disconnected(self) -> None:
--- a/stepsail/capture/recorder.py
+++ b/stepsail/capture/recorder.py
@@ -1,4 +1,4 @@
-"""Records every call between a host and its router, in both directions, without changing any.
+"""Records every call between a host and its router, in both directions, without changing the calls.
 
 `with_recording(make_router, sink)` returns a factory of routers that a host uses like `make_router`. The
 recorder is in turn the host of the real router. Its clock does not advance during a call, so that the router
@@ -27,7 +27,8 @@
     VoteReceipt,
 )
 
-# Plain integers, as enum members take longer to look up and to encode, and every recorded call needs one.
+# These are plain integers because every recorded call needs an event number, and enum members take longer
+# to look up and to encode.
 STARTED = int(Event.STARTED)
 SERVER_ADDED = int(Event.SERVER_ADDED)
 ENDPOINT_LIST_RECEIVED = int(Event.ENDPOINT_LIST_RECEIVED)
@@ -238,7 +239,10 @@
         self.record(TIMER_FIRED, (number,), self._run_timer, number)
 
     def _run_timer(self, number: int) -> None:
-        """Run a timer. It is removed within the recorded call, as a snapshot before the call must have it."""
+        """Run a timer, and remove it within the recorded call.
+
+        The timer is not removed earlier because a snapshot made before the call must contain it.
+        """
         self.timers.pop(number)()
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
--- a/stepsail/capture/replay.py
+++ b/stepsail/capture/replay.py
@@ -1,6 +1,6 @@
 """Feeds captured events to a router, and compares its commands with the captured ones.
 
-Does no I/O; the clock is that of the capture.
+A replay does no I/O, and its clock shows the times in the capture.
 """
 
 from __future__ import annotations
@@ -16,13 +16,15 @@
 from stepsail.capture.stored_names import read_settings
 from stepsail.decisions.interface import RouterSettings
 
-ENTRIES_BEFORE_DIFFERENCE = 12  # shown together with a difference, as its context
+# Number of entries before a difference that are shown with it as context.
+ENTRIES_BEFORE_DIFFERENCE = 12
 
-Observer = Callable[[int, Entry, ReplayHost], None]  # called before each entry is fed, with its number
+# A function that is called with the number of an entry before the entry is fed to the router.
+Observer = Callable[[int, Entry, ReplayHost], None]
 
 
 class ReplayError(Exception):
-    """A capture cannot be replayed, as its beginning or entries in between are missing."""
+    """A capture cannot be replayed because its beginning or entries in between are missing."""
 
 
 @dataclass
@@ -35,7 +37,10 @@
     before: list[tuple[int, Entry]]
 
     def lines(self, servers: list[str]) -> list[str]:
-        """Format as lines: earlier entries, then the difference. `servers` are addresses by server number."""
+        """Format as lines: earlier entries, then the difference.
+
+        `servers` is the list of server addresses; its index is the server number.
+        """
         before = [
             f"  {number}: {line}" for number, entry in self.before for line in entry_lines(entry, servers)
         ]
@@ -52,13 +57,13 @@
 
 @dataclass
 class ReplayResult:
-    """How many entries a replay has fed, and where its commands differed from the captured ones."""
+    """The number of entries fed in a replay, how many differed from the capture, and the first difference."""
 
     host: ReplayHost
     entries: int = 0
     differing: int = 0
     first_difference: Difference | None = None
-    event_counts: dict[str, int] = field(default_factory=dict)  # number of events by name
+    event_counts: dict[str, int] = field(default_factory=dict)  # number of events of each name
 
     def count_entry(self, entry: Entry) -> None:
         """Count an entry that was fed."""
@@ -127,7 +132,7 @@
 
 
 def _check_follows(host: ReplayHost, number: int, entry: Entry, expected: int | None) -> None:
-    """Raise ReplayError if an entry cannot be fed next, as entries before it are missing."""
+    """Raise ReplayError if an entry cannot be fed next because entries before it are missing."""
     if host.router is None and entry.kind != Event.STARTED:
         raise ReplayError(f"entry {number}: neither a start nor a snapshot precedes it")
     if expected is not None and number != expected:
@@ -137,6 +142,9 @@
 
 
 def _matches(response: Response, entry: Entry) -> bool:
-    """Whether a response is the captured one. Compares encoded bytes, as times must match to the last bit."""
+    """Return whether a response equals the captured one.
+
+    The encoded bytes are compared, because times must match to the last bit.
+    """
     replayed = ENCODER.encode((response.commands, response.error))
     return replayed == ENCODER.encode((entry.commands, entry.error))
--- a/stepsail/capture/replay_host.py
+++ b/stepsail/capture/replay_host.py
@@ -1,4 +1,7 @@
-"""The router's host in a replay: feeds captured events to it and collects its commands; executes none."""
+"""The router's host in a replay: feeds captured events to the router and collects its commands.
+
+The host executes none of these commands.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class ReplayHost:
-    """Runs a router of a build of the decision module, and keeps its handles and timers."""
+    """Runs the router of one build of the decision module, and keeps the router's handles and timers."""
 
     def __init__(self, module: ModuleType, settings: RouterSettings) -> None:
         self.module = module
@@ -31,7 +34,7 @@
         self.commands: list[Values] = []
         self.router: Any = None
         self.servers: list[Any] = []
-        self.server_numbers: dict[int, int] = {}  # by the id() of the server's handle
+        self.server_numbers: dict[int, int] = {}  # key: id() of the server's handle
         self.requests: dict[int, Any] = {}
         self.timers: dict[int, Callable[[], None]] = {}
         self.timer_count = 0
@@ -150,7 +153,7 @@
         self.commands.append((int(command), *values))
 
 
-# -- one function per event, which passes the values of the entry to the router ------------------------------
+# -- one function per kind of event; it passes the values of an entry to the router ------------------------
 
 
 def _started(host: ReplayHost, values: Values) -> None:
--- a/stepsail/capture/segment_writer.py
+++ b/stepsail/capture/segment_writer.py
@@ -17,7 +17,7 @@
 SUFFIX = ".cap"
 FILE_MODE = 0o600
 MAX_QUEUED_BLOCKS = 32
-RETRY_INTERVAL = 2.0  # s from a failed write until a new segment may begin
+RETRY_INTERVAL = 2.0  # seconds from a failed write until a new segment may begin
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
 
     segment_bytes: int
     max_bytes: int
-    max_age: float  # s
+    max_age: float  # maximum age of a segment in seconds
 
 
 @dataclass
@@ -65,8 +65,8 @@
     Attributes:
         bytes_written: Bytes written to files.
         next_entry: Number of the first entry after the last one written.
-        failed_segment: Number of the last segment whose writing failed; -1: none.
-        failed_at: Time of the last failure, by the monotonic clock.
+        failed_segment: Number of the last segment whose writing failed; -1 if no write has failed.
+        failed_at: Time of the last failed write on the monotonic clock.
     """
 
     bytes_written: int = 0
@@ -107,7 +107,8 @@
     def _process(self, work: WorkItem) -> None:
         match work:
             case OpenSegment():
-                # Set first: if closing the previous segment fails, the new one counts as failed, too.
+                # The number is set before the previous segment is closed, so that the new segment counts
+                # as failed, too, if closing the previous one fails.
                 self._segment = work.number
                 self._seal()
                 self._open(work)
@@ -159,7 +160,7 @@
         os.close(fd)
 
     def _remove_old_segments(self) -> None:
-        """Remove this instance's oldest segments beyond the size and age limits, but never the open one."""
+        """Remove this instance's oldest segments beyond the size or age limit, but never the open segment."""
         limits = self.limits
         files = sorted(self.folder.glob(f"*-umpire{self.instance}-*{SUFFIX}"))[:-1]
         stats = {file: file.stat() for file in files}
--- a/stepsail/capture/sink.py
+++ b/stepsail/capture/sink.py
@@ -10,7 +10,7 @@
 
 
 class Sink(Protocol):
-    """Receives the entries and snapshots of a router. Its methods must not block, as the router waits.
+    """Receives the entries and snapshots of a router. Its methods must not block, because the router waits.
 
     Attributes:
         wants_snapshot: Whether the recorder must call `add_snapshot` before the next event.
--- a/stepsail/capture/snapshot_names.py
+++ b/stepsail/capture/snapshot_names.py
@@ -11,7 +11,7 @@
 
 
 def objects_by_name(settings: RouterSettings, host: object) -> dict[str, Any]:
-    """Return the external objects by name, to read a snapshot."""
+    """Return the objects that a snapshot refers to by name, keyed by name, for reading a snapshot."""
     return {
         "charter": settings,
         "host": host,
@@ -21,5 +21,5 @@
 
 
 def names_by_id(settings: RouterSettings, host: object) -> dict[int, str]:
-    """Return the names of the external objects by their id(), to write a snapshot."""
+    """Return the names of the objects that a snapshot refers to, keyed by id(), for writing a snapshot."""
     return {id(external): name for name, external in objects_by_name(settings, host).items()}
--- a/stepsail/capture/snapshot_upgrade.py
+++ b/stepsail/capture/snapshot_upgrade.py
@@ -96,7 +96,7 @@
                 self.attributes[_node_number(value)].pop(attribute, None)
 
     def _derive_attributes(self, number: int) -> None:
-        """Add references that an object now has itself, and that it reached through other objects before."""
+        """Add an object's direct references to objects that earlier builds reached through other objects."""
         for attribute, path in DERIVED_ATTRIBUTES.get(self.nodes[number][1], {}).items():
             value = self._value_at(number, path)
             if value is not _MISSING:
@@ -115,7 +115,7 @@
         self.nodes[number] = ["o", name, list(attributes), list(attributes.values())]
 
     def _encoded_value(self, value: Any) -> Any:
-        """Return the stored form of a table's value: an enum member or an empty container becomes a node."""
+        """Return the stored form of a default value: an enum member or empty container becomes a node."""
         if isinstance(value, Enum):
             return self._add_node(["e", type(value).__name__, value.value])
         if isinstance(value, dict):
--- a/stepsail/capture/state.py
+++ b/stepsail/capture/state.py
@@ -1,8 +1,8 @@
 """Serializes the object graph of a router as plain data. Restoring it executes no code from the file.
 
-Pickle is not used, as it calls functions that the file names, and binds a snapshot to the classes of one
-build by their paths. Here, classes are looked up by their name alone, in a given module. So another build of
-the router can continue from the same snapshot, as far as its objects have the same attributes.
+Pickle is not used, because it calls functions that the file names, and binds a snapshot to the classes of
+one build by their paths. Here, classes are looked up by their name alone, in a given module. So another
+build of the router can continue from the same snapshot, as far as its objects have the same attributes.
 
 A snapshot is a list of nodes, the first of which is the root. A node is a list: a letter of `NodeKind`,
 followed by the fields of this kind. Values of `PLAIN_TYPES` are stored within a node; any other value is a
@@ -24,7 +24,7 @@
 
 PLAIN_TYPES = frozenset((type(None), bool, int, float, str, bytes))
 MAX_NODES = 5_000_000
-MAX_TUPLE_DEPTH = 500  # levels of tuples within tuples
+MAX_TUPLE_DEPTH = 500  # maximum levels of tuples nested within tuples
 
 # Stands for a tuple or bound method until the objects that it refers to have been created.
 _PLACEHOLDER = object()
@@ -94,7 +94,7 @@
 
     def __init__(self, external_names: dict[int, str]) -> None:
         self.external_names = external_names
-        self.node_numbers: dict[int, int] = {}  # by the id() of the node's object
+        self.node_numbers: dict[int, int] = {}  # key: id() of the node's object
         self.nodes: list[Any] = []
         self.pending: list[Any] = []
         # Keeps all objects that have a node. A bound method is a new object at each access; if it were freed,
@@ -141,7 +141,7 @@
         raise SnapshotError(f"cannot serialize an object of type {kind.__name__}")
 
     def _reference(self, value: Any) -> Any:
-        """Return a plain value itself, and for others a reference to a node, which is filled in later."""
+        """Return a plain value itself, or else a reference to a node that is filled in later."""
         if type(value) in PLAIN_TYPES:
             return value
         number = self.node_numbers.get(id(value))
@@ -158,7 +158,10 @@
 
 
 class _GraphReader:
-    """Converts nodes to objects: creates them empty, then fills them, as they may refer to each other."""
+    """Converts nodes to objects.
+
+    All objects are created empty before any is filled, because they may refer to each other.
+    """
 
     def __init__(self, nodes: list[Node], module: ModuleType, external_objects: dict[str, Any]) -> None:
         self.nodes = nodes
@@ -188,7 +191,7 @@
         return self._create_instance(kind, node)
 
     def _create_instance(self, kind: NodeKind, node: Node) -> Any:
-        """Return an enum member, or an empty deque or object, of a class of the module."""
+        """Return an enum member, an empty deque or an empty object, of a class of the module."""
         name = node[1]
         is_plain_deque = kind is NodeKind.DEQUE and name == "deque"
         cls: Any = deque if is_plain_deque else getattr(self.module, name, None)
--- a/stepsail/capture/stored_names.py
+++ b/stepsail/capture/stored_names.py
@@ -78,7 +78,7 @@
     "Trial": "Canary",
     "Umpire": "Router",
 }
-# By stored class: the methods that timers call.
+# For each stored class: the old and new names of the methods that timers call.
 RENAMED_METHODS = {"Umpire": {"beat": "tick", "watch": "ensure_endpoint_watch"}}
 TUPLES_TO_OBJECTS = {
     "Router": {"allowances": ("ExposureWindow", ("accepted", "sent"))},
@@ -245,7 +245,7 @@
     "ServerPool": {"best_zone_latency": 0.0, "refused_connects": 0.0, "rejected_attempts": 0.0},
     "StallDetection": {"detectors": []},
     "VotingRules": {"spread": 0.0},
-}  # class: attribute: default, for snapshots from before the attribute was added or first set
+}  # class: attribute: default for snapshots that were made before the attribute was added or first set
 
 
 def stored_settings(settings: RouterSettings) -> dict[str, Any]:
--- a/stepsail/capture/writer.py
+++ b/stepsail/capture/writer.py
@@ -2,7 +2,7 @@
 
 If the disk fails or is too slow, all entries are dropped until it recovers. The header of the next segment
 describes this gap, and a replay does not continue across it. If the process is killed, the buffered entries
-(of FLUSH_INTERVAL at most) and the queued blocks are lost; what has been written stays valid.
+(those of at most FLUSH_INTERVAL seconds) and the queued blocks are lost; what has been written stays valid.
 """
 
 from __future__ import annotations
@@ -38,14 +38,17 @@
 from stepsail.store.frames import join_entries
 
 MAX_BUFFERED_ENTRIES = 1000  # about 60 kB
-FLUSH_INTERVAL = 1.0  # s of the instance's clock after which buffered entries are queued, even if few
-COMPRESSION_RATIO = 4  # approximate size of encoded entries relative to their size on disk
+# Seconds of the instance's clock after which buffered entries are queued, even if there are few.
+FLUSH_INTERVAL = 1.0
+# Approximate ratio of the size of encoded entries to their compressed size on disk.
+COMPRESSION_RATIO = 4
 RESUME_QUEUE_LENGTH = MAX_QUEUED_BLOCKS // 4  # entries are dropped until at most this many blocks are queued
-CLOSE_TIMEOUT = 5.0  # s
+# Maximum seconds that closing a capture waits for room in the queue, and then again for the thread to end.
+CLOSE_TIMEOUT = 5.0
 RUN_ID_BYTES = 6
 DEFAULT_SEGMENT_BYTES = 16 << 20
 DEFAULT_MAX_BYTES = 256 << 20
-DEFAULT_MAX_AGE = 86400.0  # s
+DEFAULT_MAX_AGE = 86400.0  # default maximum age of a segment in seconds
 
 
 def fingerprint(make_router: Callable[..., Any]) -> str:
@@ -97,8 +100,8 @@
         self.clock = 0.0
         self.first_clock = 0.0  # clock reading of the first buffered entry
         self.next_segment = 0
-        self.bytes_in_segment = 0  # uncompressed
-        # Since when and why entries are being dropped; None: they are not.
+        self.bytes_in_segment = 0  # uncompressed bytes of entries queued for the current segment
+        # The time since which entries are being dropped, and the reason; None if none are being dropped.
         self.gap: dict[str, Any] | None = None
         self.settings: dict[str, Any] = {}
         self.seed = 0
@@ -121,7 +124,7 @@
         self._open_segment(None)
 
     def add_entry(self, call: RecordedCall) -> None:
-        """See `Sink.add_entry`. As the router waits for this, entries are encoded later, many at a time."""
+        """See `Sink.add_entry`. Entries are encoded later in batches because the router waits."""
         self.next_entry += 1
         self.clock = clock = call[1]
         buffered = self.buffered
--- a/stepsail/store/frames.py
+++ b/stepsail/store/frames.py
@@ -19,9 +19,9 @@
 HEADER = struct.Struct("<4sB3xIQdQ")
 HEADER_CHECKSUM = struct.Struct("<I")
 HEADER_BYTES = HEADER.size + HEADER_CHECKSUM.size
-ENTRY_LENGTH = struct.Struct("<I")  # precedes each entry in a payload
-# If the last payload of a file has a wrong checksum and ends with this many zero bytes, it is not damaged: the
-# new length of the file reached the disk before the payload.
+ENTRY_LENGTH = struct.Struct("<I")  # the length of an entry; it precedes each entry in a payload
+# If the last payload of a file has a wrong checksum and ends with this many zero bytes, the payload is not
+# treated as damaged: the new length of the file reached the disk before the payload.
 UNWRITTEN_TAIL_BYTES = 16
 
 
@@ -49,7 +49,7 @@
         offset: Offset of the header in the file.
         kind: What the payload contains; each file format has kinds of its own.
         first_entry: Number of the first entry in the payload.
-        clock: Clock reading of the first entry (s).
+        clock: Clock reading of the first entry, in seconds.
         payload_start: Offset of the payload in the file.
         end: Offset after the last byte of the payload.
     """
--- a/stepsail/trail/audit.py
+++ b/stepsail/trail/audit.py
@@ -1,4 +1,4 @@
-"""Audits a trail; requires only its files, and optionally a public key and published heads."""
+"""Audits a trail from its files alone; a public key and published heads are optional."""
 
 from __future__ import annotations
 
@@ -132,7 +132,7 @@
             )
 
     def _check_retired_heads(self, file: str) -> None:
-        """Skip the published heads of retired segments; only one at the very end of these can be compared."""
+        """Skip published heads of retired segments; only a head at the very end of them can be compared."""
         retired = 0
         while self.published_heads and self.published_heads[0].seq <= self.first_position.seq:
             head = self.published_heads.popleft()
@@ -260,7 +260,7 @@
             self.report.signed_to = max(self.report.signed_to, head.seq)
 
     def _check_end(self) -> None:
-        """Set the counts of entries, and report published heads beyond the end of the trail."""
+        """Set the report's counts of entries, and report published heads beyond the end of the trail."""
         for head in self.published_heads:
             self._add_finding(
                 "",
--- a/stepsail/trail/availability.py
+++ b/stepsail/trail/availability.py
@@ -1,17 +1,20 @@
-"""Decides how an instance behaves when its trail cannot be written. No I/O; the caller passes the time.
+"""Decides how an instance behaves when its trail cannot be written.
+
+This module does no I/O; the caller passes the time.
 
 The first write that fails frees the reserve, so that requests in flight can still be answered and recorded.
 While the reserve is freed, or nothing can be written, `deny` rejects new requests before they are sent to a
-server, so the rejection truthfully means that they did not run. `go-on` serves them, and as soon as the trail
-can be written again, a GAP entry records the number of answers that are missing from it.
+server, so the rejection truthfully means that they did not run. `go-on` serves new requests, and as soon as
+the trail can be written again, a GAP entry records the number of answers that are missing from the trail.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-RETRY_INTERVAL = 1.0  # s between attempts to begin a new segment while nothing can be written
-RESERVE_RETRY_INTERVAL = 10.0  # s between attempts to allocate a freed reserve again
+# Seconds between attempts to begin a new segment while nothing can be written.
+RETRY_INTERVAL = 1.0
+RESERVE_RETRY_INTERVAL = 10.0  # seconds between attempts to allocate a freed reserve again
 
 
 class FullPolicy(Enum):
@@ -54,7 +57,7 @@
         self.reserve_retry_at = 0.0
         self.last_error = ""
         # These counters only grow, and each is written by one thread only, so they need no lock. A GAP entry
-        # reports the growth since the one before it.
+        # reports the growth since the previous GAP entry.
         self.unrecorded = 0
         self.not_queued = 0
         self.reported = 0
@@ -87,7 +90,7 @@
     def reserve_due(self, now: float) -> bool:
         """Return whether to allocate a freed reserve again now.
 
-        If so, the next attempt is due after RESERVE_RETRY_INTERVAL.
+        If an attempt is due now, the next attempt is due after RESERVE_RETRY_INTERVAL.
         """
         if self.reserve_available or not self.writable or now < self.reserve_retry_at:
             return False
--- a/stepsail/trail/committer.py
+++ b/stepsail/trail/committer.py
@@ -20,18 +20,21 @@
 from stepsail.trail.retention import MAX_SEGMENTS_PER_PASS, Retention
 from stepsail.trail.segments import SegmentCatalog
 
-MAX_QUEUED_ENTRIES = 20000  # with more, an answer counts as not recordable
+# Maximum length of the queue of entries. An answer that finds the queue full counts as not recordable.
+MAX_QUEUED_ENTRIES = 20000
 MAX_BATCH_ENTRIES = 512
-MAX_WRITE_ATTEMPTS = 2  # in the open segment, then in a new one in the freed space of the reserve
+# The first attempt uses the open segment; the second uses a new segment in the freed space of the reserve.
+MAX_WRITE_ATTEMPTS = 2
 DEFAULT_RESERVE_BYTES = 4 << 20  # space for about ten thousand answers
-IDLE_INTERVAL = 0.5  # s between maintenance passes while no entries are queued
-HEAD_INTERVAL = 5.0  # s between signed heads while entries are written
-CLOSE_TIMEOUT = 10.0  # s
+IDLE_INTERVAL = 0.5  # seconds between maintenance passes while no entries are queued
+HEAD_INTERVAL = 5.0  # seconds between signed heads while entries are written
+# Maximum seconds that closing a trail waits for room in the queue, and then again for the thread to end.
+CLOSE_TIMEOUT = 10.0
 FOLDER_MODE = 0o700
 RESERVE_FILE = "reserve"
 
-OnCommitted = Callable[[bool], object]  # its argument: whether the entry was stored
-# A plain tuple because it is cheap to create, as each answer queues several entries.
+OnCommitted = Callable[[bool], object]  # the callback's argument: whether the entry was stored
+# This is a plain tuple because each answer queues several entries, and a tuple is cheap to create.
 QueuedEntry = tuple[bytes, OnCommitted | None]
 
 
--- a/stepsail/trail/entries.py
+++ b/stepsail/trail/entries.py
@@ -19,7 +19,7 @@
 
 
 class EntryKind(IntEnum):
-    """The kinds of entries. Numbers and field names are part of the format: never reuse one."""
+    """The kinds of entries. Numbers and field names are part of the format; never reuse a number."""
 
     # The comments list the fields of each kind in braces.
     START = 1  # {umpire, run, follows, link, key, public, old, signed}: the first entry of a segment
@@ -103,5 +103,5 @@
 
 
 def answer_digest(status: int, body: bytes) -> str:
-    """Return the hash of a response, by which a client's answer is compared with the recorded one."""
+    """Return the hash of a response, used to compare a client's answer with the recorded one."""
     return hashlib.blake2b(b"%d " % status + body, digest_size=DIGEST_BYTES).hexdigest()
--- a/stepsail/trail/keys.py
+++ b/stepsail/trail/keys.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Handover:
-    """The id of a key's predecessor and its signature over the new key; both are empty if it was lost."""
+    """The id of the old key and its signature over the new key; both are empty if the old key was lost."""
 
     old_key_id: str
     signature: bytes
@@ -66,7 +66,7 @@
 
     @classmethod
     def rotate(cls, folder: Path) -> SigningKey:
-        """Replace the folder's key with a new one, which is signed with the old key if that can be loaded."""
+        """Replace the folder's key with a new one, signed with the old key if the old key can be loaded."""
         try:
             old: SigningKey | None = cls.load(folder)
         except (FileNotFoundError, SigningKeyError):
--- a/stepsail/trail/log.py
+++ b/stepsail/trail/log.py
@@ -1,8 +1,11 @@
-"""Appends entries to the segments of a trail, syncs them, signs heads and seals segments. Synchronous.
+"""Appends entries to the segments of a trail, syncs them, signs heads and seals segments.
+
+All calls are synchronous.
 
 After a failed write or sync, and after a restart, nothing more is appended to the old segment. A new segment
 begins instead, and its START entry states the position in the chain at which it continues; entries of the old
-segment from that position on do not count. Torn tails stay in place, and no written byte is changed.
+segment from that position on are not part of the chain. Torn tails stay in place, and no written byte is
+changed.
 """
 
 from __future__ import annotations
@@ -27,7 +30,8 @@
     segment_names,
 )
 
-DEFAULT_SEGMENT_BYTES = 16 << 20  # bounds the time of a restart, which reads only the last segment
+# This size limits the duration of a restart, because a restart reads only the last segment.
+DEFAULT_SEGMENT_BYTES = 16 << 20
 
 
 class TrailLog:
@@ -38,7 +42,7 @@
     Attributes:
         position: The position at which the next entry is appended.
         next_segment: The number in the file name of the next segment.
-        signed_seq: The `seq` of the last signed head; -1 before the first.
+        signed_seq: The `seq` of the last signed head; -1 before the first head is signed.
         segment_bytes: The size of the open segment.
         fd: The descriptor of the open segment; None if none is open.
     """
@@ -168,7 +172,7 @@
     def close_segment(self) -> None:
         """Close the open segment without a final head or sync.
 
-        Errors on closing are ignored, as nothing more is written to the segment.
+        Errors on closing are ignored, because nothing more is written to the segment.
         """
         if self.fd is None:
             return
--- a/stepsail/trail/reader.py
+++ b/stepsail/trail/reader.py
@@ -22,7 +22,8 @@
 def read_segments(disk: Disk, folder: Path) -> Iterator[Segment]:
     """Yield each segment; for one that cannot be read, `read_error` is set.
 
-    The oldest segments are skipped if their files are gone, as a live writer may have just retired them.
+    The oldest segments are skipped if their files are gone, because a live writer may have just removed
+    these segments.
     """
     any_read = False
     for name in segment_names(disk):
@@ -50,7 +51,7 @@
             raise segment.read_error
         start = segment.start()
         if start is None:
-            continue  # a crash cut it short before its START entry, so it has no entries in the chain
+            continue  # a crash cut the segment short before its START entry, so it adds nothing to the chain
         if previous is not None:
             end_seq = start.follows.seq
             yield from (CommittedEntry(previous.name, *e) for e in previous.entries() if e[0] < end_seq)
--- a/stepsail/trail/reconcile.py
+++ b/stepsail/trail/reconcile.py
@@ -43,9 +43,9 @@
 def reconcile(trail: Iterable[tuple[int, Entry]], client_answers: Iterable[dict[str, Any]]) -> Reconciliation:
     """Check that every answer that a client received is in the trail exactly once, and unchanged.
 
-    Each of `client_answers` has a receipt, a verdict, a status and a digest; one without a receipt is a
+    Each of `client_answers` has a receipt, a verdict, a status and a digest; an answer without a receipt is a
     discrepancy. If older segments of the trail were retired, a SENT entry without its ANSWER entry is not a
-    discrepancy, as the ANSWER may have been removed with them.
+    discrepancy, because the ANSWER entry may have been removed with those segments.
     """
     result = Reconciliation()
     recorded: dict[str, dict[str, Any]] = {}
@@ -86,7 +86,7 @@
     seen: set[str],
     first_seq: int,
 ) -> str | None:
-    """Return how a client's answer differs from the recorded one; None if it does not."""
+    """Return how a client's answer differs from the recorded one; None if they agree."""
     if receipt in seen:
         return f"{receipt or 'no receipt'}: received twice"
     recorded_answer = recorded.get(receipt)
--- a/stepsail/trail/retention.py
+++ b/stepsail/trail/retention.py
@@ -1,4 +1,6 @@
-"""Decides which segments of a trail to remove by age and size. No I/O; the caller passes the time.
+"""Decides which segments of a trail to remove, according to limits of age and size.
+
+This module does no I/O; the caller passes the time.
 
 Only sealed segments are removed: those with a successor in which a signed head has been synced. They are
 removed from the oldest on, without skipping any, so that the remaining segments form one chain. The live
@@ -13,10 +15,14 @@
 
 from stepsail.trail.entries import ChainPosition
 
-MAX_SEGMENTS_PER_PASS = 8  # kept low, as answers wait for the trail's thread during a pass
-PASS_INTERVAL = 60.0  # s between passes; a pass also follows the beginning of a new segment
-CLOCK_JUMP = 60.0  # s by which the wall clock may drift from the monotonic clock between passes
-CLOCK_SETTLE_TIME = 3600.0  # s after a jump during which no segment is removed by age
+# The limit is kept low because answers wait for the trail's thread during a pass.
+MAX_SEGMENTS_PER_PASS = 8
+# Seconds between retention passes. A pass also follows the beginning of a new segment.
+PASS_INTERVAL = 60.0
+# Seconds by which the wall clock may drift from the monotonic clock between passes. A larger drift is a jump.
+CLOCK_JUMP = 60.0
+# Seconds after a jump of the wall clock during which no segment is removed because of its age.
+CLOCK_SETTLE_TIME = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/stepsail/trail/segments.py
+++ b/stepsail/trail/segments.py
@@ -24,7 +24,8 @@
 
 TITLE = b"stepsail trail 1\n"
 SUFFIX = ".trail"
-START_READ_BYTES = 4096  # read from the beginning of a segment; usually includes its START entry
+# Number of bytes read from the beginning of a segment; they usually include its START entry.
+START_READ_BYTES = 4096
 
 
 class FrameKind(IntEnum):
@@ -58,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StartEntry:
-    """The first entry of a segment. Each property reads its own field, as older trails lack some of them."""
+    """The first entry of a segment.
+
+    Each property reads its own field, because older trails lack some of the fields.
+    """
 
     wall_time: float
     fields: dict[str, Any]
@@ -99,7 +103,7 @@
         frames: The frames that could be read, in the order of the file.
         torn_at: The offset of a tail that a crash cut short; None if there is none.
         damaged: The damage at which reading stopped; None if there is none.
-        read_error: The error with which reading the file failed; None if it was read.
+        read_error: The error with which reading the file failed; None if the file was read.
     """
 
     name: str
@@ -192,7 +196,10 @@
 
 
 class SegmentCatalog:
-    """Lists segments for retention. The sizes of sealed segments are cached, as these files never change."""
+    """Lists the segments of a trail for retention.
+
+    The sizes of sealed segments are cached, because the files of sealed segments never change.
+    """
 
     def __init__(self, disk: Disk, folder: Path) -> None:
         self.disk = disk
@@ -214,7 +221,10 @@
         return SealedSegments(oldest, total)
 
     def _first_start(self, names: list[str]) -> StartEntry | None:
-        """Return the first START entry in these segments; a crash may have cut a segment short before it."""
+        """Return the first START entry in these segments.
+
+        A segment may lack its START entry, because a crash may have cut the segment short before that entry.
+        """
         starts = (self._read_start(name) for name in names)
         return next((start for start in starts if start is not None), None)
 
