--- a/stepsail/platform/__main__.py
+++ b/stepsail/platform/__main__.py
@@ -22,15 +22,16 @@
 from stepsail.platform.json_log import JsonLog
 
 START_READ_ATTEMPTS = 6
-# Objects in the youngest generation that trigger its collection; for each of the two older generations, the
-# collections of the next younger generation that trigger one.
+# Thresholds of Python's garbage collector. The first is the number of new objects that triggers a collection
+# of the youngest generation. Each of the other two is the number of collections of the next younger
+# generation that triggers a collection of an older generation.
 GC_THRESHOLDS = (20_000, 20, 20)
 EXIT_INVALID_CONFIGURATION = 2
 EXIT_FAILURE = 4
 
 
 def read_with_retries(read: Callable[[], PlatformConfiguration]) -> PlatformConfiguration:
-    """Read the configuration; retry for a while if it is invalid, as the file may be about to be replaced.
+    """Read the configuration; if it is invalid, retry, because the file may be about to be replaced.
 
     Raises:
         InvalidConfiguration: The configuration was invalid at every attempt.
--- a/stepsail/platform/application.py
+++ b/stepsail/platform/application.py
@@ -18,13 +18,16 @@
 from stepsail.proxy.serving_process import POLL_INTERVAL, ServingProcess
 from stepsail.settings.model import Address
 
-CONNECTING_CLIENTS_GRACE = 0.6  # s after SIGTERM in which new client connections are still accepted
-# s to wait for the first endpoint list; an instance is expected to be ready within 10 s.
+# Time in seconds after SIGTERM during which new client connections are still accepted.
+CONNECTING_CLIENTS_GRACE = 0.6
+# Longest wait in seconds for the first endpoint list; an instance is expected to be ready within 10 s.
 FIRST_LIST_TIMEOUT = 6.0
-LISTEN_TIMEOUT = 10.0  # s to keep retrying while the listen address is unavailable
-LISTEN_RETRY_INTERVAL = 0.2  # s
-RELOAD_ATTEMPTS = 10  # reads of an invalid configuration file before a reload is given up
-MAX_LOGGED_ERROR = 300  # characters
+# Time in seconds during which listening is retried while the listen address is unavailable.
+LISTEN_TIMEOUT = 10.0
+LISTEN_RETRY_INTERVAL = 0.2  # seconds between two attempts to listen
+# Number of times that a reload reads an invalid configuration file before it is given up.
+RELOAD_ATTEMPTS = 10
+MAX_LOGGED_ERROR = 300  # longest error text in a log line, in characters
 
 
 class PlatformApplication(ServingProcess):
@@ -35,8 +38,8 @@
         discovery: Keeps the endpoint list current.
         release_control: Receives the events of releases and sends votes.
         idle_sweep_task: Closes connections that have been idle too long; None before the start.
-        reload_task: The reload in progress, or the last one; None if there was none.
-        reload_attempts_left: How often the reload in progress may still read an invalid file.
+        reload_task: The reload in progress, or the last reload; None if no reload was started.
+        reload_attempts_left: How many more times the reload in progress may read the configuration file.
     """
 
     def __init__(
@@ -154,7 +157,7 @@
             self.discovery.watch()
 
     def _open_listener(self) -> None:
-        """Listen for clients; retry for a while, as a process that uses the address may be about to exit."""
+        """Listen for clients; retry, because a process that uses the address may be about to exit."""
         deadline = self.loop.now() + LISTEN_TIMEOUT
         while True:
             try:
@@ -168,7 +171,10 @@
             self.loop.sleep(LISTEN_RETRY_INTERVAL)
 
     def _wait_for_first_list(self) -> None:
-        """Wait, for a limited time, for a list from after the start: the cached one may be outdated."""
+        """Wait, for a limited time, for an endpoint list received after the start.
+
+        The cached endpoint list may be outdated.
+        """
         deadline = self.loop.now() + FIRST_LIST_TIMEOUT
         first_list_received = self.discovery.receiver.first_list_received
         while (
--- a/stepsail/platform/client_protocol.py
+++ b/stepsail/platform/client_protocol.py
@@ -18,9 +18,10 @@
 
 TOKEN = re.compile(rb"[!-~]{1,128}")  # a request ID or an idempotency key
 MILLISECONDS = re.compile(rb"[0-9]{1,9}")
-MAX_NUMBER_DIGITS = 18  # of a key or a tenant index in INFO_HEADER
+MAX_NUMBER_DIGITS = 18  # most digits of a key or a tenant index in INFO_HEADER
 KEY_HASH_BYTES = 8
-SINGLETON_HEADERS = (  # headers that must not be repeated, as their values could contradict each other
+# Headers that a request must not repeat, because their values could contradict each other.
+SINGLETON_HEADERS = (
     wire_names.REQUEST_ID_HEADER,
     wire_names.TIME_LEFT_HEADER,
     wire_names.IDEMPOTENCY_KEY_HEADER,
@@ -36,7 +37,10 @@
 
 
 def hash_key_in_query(target: bytes) -> int | None:
-    """Hash the key in a target's query to a number, the same in every instance; return None without a key."""
+    """Hash the key in the query of a request target to a number.
+
+    The number is the same in every instance. Without a key, the function returns None.
+    """
     query = target.partition(b"?")[2]
     parameters = (parameter.partition(b"=") for parameter in query.split(b"&"))
     key = next((value for name, _, value in parameters if name == wire_names.KEY_PARAMETER), b"")
@@ -66,7 +70,7 @@
         self.finished_with_open_attempts: set[int] = set()
 
     def parse_request(self, request: Request, ready: bool) -> ParsedRequest | Response:
-        """Parse a request; return the response to one that is invalid or a health check."""
+        """Parse a request; if it is invalid or a health check, return the response to it instead."""
         path = request.target.partition(b"?")[0]
         if path == wire_names.HEALTH_PATH:
             return self._health_response(request, ready)
@@ -87,8 +91,8 @@
     def request_ended(self, in_flight: InFlightRequest) -> None:
         """Record that a request was answered or that its client has disconnected.
 
-        Its ID stays in use while the request has an open attempt: a second request with the same ID would run
-        concurrently with that attempt.
+        The request's ID stays in use while the request has an open attempt, because a second request with the
+        same ID would run concurrently with that attempt.
         """
         if in_flight.open_attempts:
             self.finished_with_open_attempts.add(in_flight.number)
@@ -102,12 +106,12 @@
             self._free_id(in_flight)
 
     def rejection_response(self, in_flight: InFlightRequest) -> Response:
-        """Encode a rejection: no server has run the request."""
+        """Encode a rejection, which means that no server has run the request."""
         retry_after = [(b"retry-after", b"%.3f" % in_flight.retry_after)] if in_flight.retry_after > 0 else []
         return Response(503, retry_after, b"denied: trying again is harmless\n")
 
     def failure_response(self, in_flight: InFlightRequest, timed_out: bool) -> Response:
-        """Encode a failure: a server may have run the request."""
+        """Encode a failure, which means that a server may have run the request."""
         return Response(504 if timed_out else 502, [], b"errored: nothing is promised\n")
 
     def error_response(self, status: int, text: str) -> Response:
@@ -164,10 +168,10 @@
         )
 
     def _tenant_index(self, name: bytes | None, index_text: str) -> int:
-        """Return a tenant's index, by its name or, if the request has no name, by its index in the settings.
+        """Return the index of the tenant that a request names, or else of the tenant whose index it contains.
 
-        A request with neither, or with an unknown one, is counted separately from all tenants: it must not
-        use up the quota of any of them.
+        A request without a tenant name and index, or with an unknown name or index, is counted separately
+        from all tenants, because it must not use up the quota of any tenant.
         """
         if name is not None:
             return self.tenants.index(name.strip())
--- a/stepsail/platform/configuration.py
+++ b/stepsail/platform/configuration.py
@@ -1,7 +1,7 @@
 """Reads the platform's configuration file and converts it to an instance's settings.
 
-The file does not contain connection limits. They are derived from its limit on open file descriptors, which
-are divided between connections of clients and connections to servers.
+The file contains no connection limits, only a limit on open file descriptors. The connection limits are
+derived by dividing the descriptors between connections from clients and connections to servers.
 """
 
 from __future__ import annotations
@@ -20,25 +20,36 @@
 from stepsail.settings.flat_settings import FlatSettings, flatten_json, read_router_settings
 from stepsail.settings.model import InstanceSettings, Route
 
-REREAD_INTERVAL = 0.2  # s between two reads of a file that is invalid, for example while it is being replaced
-RESERVED_DESCRIPTORS = 32  # for logs, the listener, signals, discovery, release control and its votes
-# Of the other descriptors; more than half, as clients connect in bursts.
+# Time in seconds between two reads of an invalid configuration file, which may be about to be replaced.
+REREAD_INTERVAL = 0.2
+# Number of file descriptors reserved for logs, the listener, signals, calls to discovery and to release
+# control, and votes sent to release control.
+RESERVED_DESCRIPTORS = 32
+# Share of the unreserved file descriptors that is used for connections from clients. It is more than half
+# because clients connect in bursts.
 CLIENT_CONNECTION_SHARE = 0.55
 MAX_HEAD_BYTES = 16384
-MAX_BODY_BYTES = 65536  # the protocol has no larger body
-MAX_BUFFERED_BYTES = 1 << 62  # in effect no limit: bodies are never streamed
-CLIENT_IDLE_TIMEOUT = 5.0  # s
-EVICTABLE_IDLE_TIME = 2.0  # s after which an idle client connection may be closed to make room for a new one
-# s from the start of a client connection until its first request is complete; a connection without a valid
-# request has to end within 3 s.
+MAX_BODY_BYTES = 65536  # The platform's protocol allows no larger body.
+MAX_BUFFERED_BYTES = 1 << 62  # In effect there is no limit: bodies are never streamed.
+CLIENT_IDLE_TIMEOUT = 5.0  # seconds after which an idle client connection is closed
+# Time in seconds after which an idle client connection may be closed to make room for a new connection.
+EVICTABLE_IDLE_TIME = 2.0
+# Longest time in seconds from the start of a client connection until its first request is complete. A
+# connection without a valid request has to end within 3 s.
 FIRST_REQUEST_TIMEOUT = 2.2
-CLIENT_READ_TIMEOUT = 2.0  # s until a later request is complete
-# s before a connection to a server is reused: the server may send a second response after the first.
+# Longest time in seconds until a request after the first of its connection is complete.
+CLIENT_READ_TIMEOUT = 2.0
+# Time in seconds that a connection to a server rests after a response before it is reused, because the
+# server may send a second response after the first.
 CONNECTION_REST = 0.025
-IDLE_CONNECTION_SHARE = 0.6  # of the servers' idle timeout, in which an idle connection is still reused
-SHUTDOWN_TIMEOUT_BEYOND_REQUESTS = 0.7  # s of the shutdown timeout on top of the longest client timeout
-LONGEST_COUNTED_CLIENT_TIMEOUT = 3.0  # s; longer client timeouts do not prolong the shutdown
-SHUTDOWN_MARGIN = 0.05  # s by which the shutdown ends before the platform kills the process
+# Share of the servers' idle timeout during which an idle connection to a server may still be reused.
+IDLE_CONNECTION_SHARE = 0.6
+# Time in seconds that the platform allows for a shutdown in addition to the longest client timeout.
+SHUTDOWN_TIMEOUT_BEYOND_REQUESTS = 0.7
+# Client timeout in seconds beyond which a longer client timeout does not prolong the shutdown.
+LONGEST_COUNTED_CLIENT_TIMEOUT = 3.0
+# Time in seconds by which the shutdown ends before the platform kills the process.
+SHUTDOWN_MARGIN = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,10 +59,10 @@
     Attributes:
         settings: The instance's settings, in the form that is independent of the platform.
         release_state: Release state of the newest build, as a message of release control; None if the file
-            has none.
-        cached_list: Endpoint list from before the start, as a message of discovery; None if the file has
-            none.
-        load_reports: Whether servers report their load.
+            contains no release state.
+        cached_list: Endpoint list from before the start, as a message of discovery; None if the file
+            contains no list.
+        load_reports: Whether servers send load reports.
     """
 
     settings: InstanceSettings
@@ -164,13 +175,13 @@
 
 
 def _usable_descriptors(content: dict[str, Any]) -> int:
-    """Return how many descriptors are left for connections of clients and connections to servers."""
+    """Return how many file descriptors are left for connections from clients and to servers."""
     limit = require_integer(content.get(wire_names.CONFIG_LIMITS), wire_names.CONFIG_SOCKET_LIMIT)
     return max(2 * RESERVED_DESCRIPTORS, limit - RESERVED_DESCRIPTORS)
 
 
 def _routes(router: RouterSettings, class_names: tuple[str, ...]) -> tuple[Route, ...]:
-    """Create a route for each request class; the first part of its path is the name of the class."""
+    """Create a route for each request class; the route's path is the name of the class."""
     return tuple(
         Route(
             method="GET" if request_class.idempotency is Idempotency.IDEMPOTENT else "POST",
@@ -182,7 +193,7 @@
 
 
 def _shutdown_timeout(router: RouterSettings) -> float:
-    """Return how long a shutdown may take.
+    """Return how long a shutdown may take, in seconds.
 
     Requests that arrived just before the stop signal can use their client timeout, and the shutdown ends
     before the platform kills the process.
--- a/stepsail/platform/discovery.py
+++ b/stepsail/platform/discovery.py
@@ -17,17 +17,17 @@
 from stepsail.proxy.json_client import CallError
 from stepsail.settings.model import Address, InstanceSettings
 
-MAX_LOGGED_ERROR = 200  # characters
+MAX_LOGGED_ERROR = 200  # longest error text in a log line, in characters
 
 
 class PlatformDiscovery:
     """Maintains the endpoint list of one instance; the router decides when to watch and when to poll.
 
     Attributes:
-        receiver: Applies the lists from all watches and polls.
-        watcher: Keeps a watch open.
-        lease: Determines until when requests may be routed by the current list.
-        poll_task: The poll in progress, or the last one; None if there was none.
+        receiver: Applies the endpoint lists from all watches and polls.
+        watcher: Keeps a watch on the endpoint list open.
+        lease: Determines until when requests may be routed according to the current endpoint list.
+        poll_task: The poll in progress, or the last poll; None if no poll was started.
     """
 
     def __init__(
@@ -39,7 +39,10 @@
         address: Address,
         unix_offset: Callable[[], float],
     ) -> None:
-        """Initialize without a call; `unix_offset` returns Unix time minus the loop's time in seconds."""
+        """Initialize without a call to discovery.
+
+        `unix_offset` returns Unix time minus the loop's time in seconds.
+        """
         self.loop = loop
         self.host = host
         self.log = log
@@ -48,7 +51,8 @@
         self.lease = ListLease(LeaseTerms(pushed, settings.router.drain_grace, settings.unwatched_list_ttl))
         self.list_state = ListState.MISSING
         self.receiver = EndpointListReceiver(loop, settings, host, log, self.lease, unix_offset)
-        # Where lists are pushed, an agent serves this instance alone: calls compete with no other instance.
+        # If endpoint lists are pushed, an agent serves this instance alone, so that its calls
+        # compete with the calls of no other instance.
         callers = 1 if pushed else settings.router.instance_count
         pacing = CallPacing("discovery", settings.seed or 0, callers)
         self.watcher = EndpointWatcher(loop, self.client, self.receiver, self.lease, pacing, host, log)
@@ -65,12 +69,18 @@
         return self.client.address
 
     def load_cached_list(self, message: Any) -> None:
-        """Load the list from before the start, if there is one; it may be outdated and confirms nothing."""
+        """Load the endpoint list from before the start if there is one.
+
+        The list may be outdated, so that it does not confirm the lease.
+        """
         if message is not None:
             self.receiver.receive(message, self.receiver.lists_received, cached=True)
 
     def is_list_usable(self) -> bool:
-        """Return whether requests may be routed by the current list; log a change of the lease's state."""
+        """Return whether the current endpoint list may be used to route requests.
+
+        A change of the lease's state is logged.
+        """
         now = self.loop.now()
         state = self.lease.state(now)
         if state is not self.list_state:
@@ -85,7 +95,10 @@
         return self.lease.usable(now)
 
     def set_address(self, address: Address) -> None:
-        """Apply an address from a new configuration; if changed, restart the watch at the same index."""
+        """Apply the address of discovery from a new configuration.
+
+        If the address has changed, the watch is restarted at the same list index.
+        """
         changed = address != self.client.address
         self.lease.address_read(self.loop.now(), moved=changed)
         if changed:
@@ -93,11 +106,14 @@
             self.watcher.restart()
 
     def watch(self) -> None:
-        """Start to keep a watch open."""
+        """Start to keep a watch on the endpoint list open."""
         self.watcher.start()
 
     def poll(self) -> None:
-        """Request a list once; do nothing during a poll, as a second one would return the same."""
+        """Request the endpoint list once.
+
+        Nothing is done while a poll is in progress, because a second poll would return the same list.
+        """
         if self.poll_task is None or self.poll_task.done:
             self.poll_task = self.loop.spawn(self._poll, name="poll discovery")
 
--- a/stepsail/platform/discovery_client.py
+++ b/stepsail/platform/discovery_client.py
@@ -13,18 +13,18 @@
 from stepsail.proxy.json_client import CallError
 from stepsail.settings.model import Address
 
-POLL_TIMEOUT = 2.0  # s for a poll of the list
+POLL_TIMEOUT = 2.0  # longest duration in seconds of a poll of the endpoint list
 
 
 class DiscoveryClient:
-    """Makes the calls; `address` may be changed between them."""
+    """Makes the calls to discovery; `address` may be changed between two calls."""
 
     def __init__(self, loop: Loop, address: Address) -> None:
         self.loop = loop
         self.address = address
 
     def watch(self, index: int, timeout: float) -> StreamingResponse:
-        """Open a stream of the changes after a list's index; index 0 requests a snapshot first.
+        """Open a stream of the changes after an endpoint list's index; index 0 requests a snapshot first.
 
         Raises:
             CallError: Discovery did not respond with a stream in time.
@@ -32,7 +32,7 @@
         return StreamingResponse(self.loop, self.address, wire_names.WATCH_PATH % index, timeout)
 
     def poll(self) -> Any:
-        """Request a snapshot once and return it decoded.
+        """Request a snapshot of the endpoint list once and return the decoded snapshot.
 
         Raises:
             CallError: Discovery did not respond with a JSON body in time.
--- a/stepsail/platform/endpoint_list.py
+++ b/stepsail/platform/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Applies the lists from all calls to discovery in the order of their index."""
+"""Applies the endpoint lists from all calls to discovery in the order of their index."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from stepsail.proxy.decision_host import DecisionHost, Logger
 from stepsail.settings.model import InstanceSettings
 
-MAX_LOGGED_NAMES = 12  # server names in one log line
+MAX_LOGGED_NAMES = 12  # most server names in one log line
 
 
 class EndpointListReceiver:
-    """Applies lists and ignores those that a newer one has superseded.
+    """Applies endpoint lists and ignores a list that a newer list has superseded.
 
     Attributes:
-        index: Discovery's version number of the current list; 0 without a list.
-        lists_received: How many lists were applied, from any call.
-        first_list_received: Set once a list other than the cached one was applied.
+        index: Discovery's version number of the current list; 0 if there is no list or a snapshot is needed.
+        lists_received: How many lists were applied, whichever call to discovery delivered them.
+        first_list_received: Set once a list other than the cached list was applied.
     """
 
     def __init__(
@@ -50,11 +50,12 @@
         self.parser = EndpointParser(settings.zones, self.table.endpoints, log, self._to_loop_time)
 
     def receive(self, message: Any, lists_received_at_call: int, cached: bool = False) -> bool:
-        """Apply one list.
+        """Apply one endpoint list.
 
-        The list of another call may have arrived in the meantime, and an outdated snapshot would make a
-        draining server ready again. A list with a lower index is therefore applied only if no list was
-        received since its call was made: in that case discovery has restarted its index.
+        The list of another call may have arrived after the call for this list was made, and an outdated
+        snapshot would make a draining server ready again. A list with a lower index than the current list is
+        therefore applied only if no list was received since its call was made: in that case discovery has
+        restarted its index.
 
         Args:
             message: The decoded list.
@@ -66,8 +67,8 @@
 
         Raises:
             InvalidField: The message is not a valid list.
-            MissedChanges: The message contains changes to a list older than the current one; a snapshot is
-                needed.
+            MissedChanges: The message contains changes to a list older than the current list, so that a
+                snapshot is needed.
         """
         index = require_integer(message, wire_names.LIST_INDEX)
         snapshot = require(message, wire_names.LIST_IS_SNAPSHOT, bool)
--- a/stepsail/platform/endpoint_records.py
+++ b/stepsail/platform/endpoint_records.py
@@ -1,4 +1,4 @@
-"""Parses and validates the server records in discovery's lists.
+"""Parses and validates the server records in the endpoint lists of discovery.
 
 The module does no I/O other than logging invalid records.
 """
@@ -16,13 +16,14 @@
 from stepsail.proxy.decision_host import Logger
 from stepsail.settings.model import Address
 
-MAX_LISTING_DELAY = 5.0  # s from a server's start to its first listing
-MAX_ZONES = 1000  # zones that get a number; a record with any further zone is invalid
+MAX_LISTING_DELAY = 5.0  # longest time in seconds from a server's start to its first listing
+# Number of zones that can get a number. A record that names a zone beyond them is invalid.
+MAX_ZONES = 1000
 MAX_BUILD_OR_CELL = 65535
 DEFAULT_CELL = 0
 DEFAULT_WEIGHT = 1.0
-MAX_LOGGED_RECORD = 200  # characters
-MAX_LOGGED_NAME = 80  # characters
+MAX_LOGGED_RECORD = 200  # longest text of a server record or its error in a log line, in characters
+MAX_LOGGED_NAME = 80  # longest server name in a log line, in characters
 
 
 @dataclass(slots=True)
@@ -33,10 +34,10 @@
         address: Address at which the server accepts connections.
         zone: Number of the server's zone.
         state: Whether the server is ready, draining or gone.
-        started_at: Start time in seconds on the loop's clock; 0 for long ago.
+        started_at: Start time in seconds on the loop's clock; 0 if the server started long ago.
         build: Number of the build that the server runs.
         unix_started_at: Start time in seconds of Unix time, as listed by discovery.
-        gone_at: When the server became gone, in seconds on the loop's clock.
+        gone_at: Time at which the server became gone, in seconds on the loop's clock.
     """
 
     address: Address
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """The update of one server that a list contains.
+    """The update of one server that an endpoint list contains.
 
     Attributes:
         name: The server's name, which identifies it to the router.
@@ -71,7 +72,11 @@
 
 
 class EndpointParser:
-    """Parses records; numbers zones in the order of the settings, then in the order of their first record."""
+    """Parses server records and numbers the zones.
+
+    Zones in the settings are numbered first, in their order there. Other zones follow in the order in which
+    records first name them.
+    """
 
     def __init__(
         self,
@@ -94,7 +99,7 @@
         self.to_loop_time = to_loop_time
 
     def parse(self, record: Any) -> EndpointUpdate | None:
-        """Parse one record; return None if it updates no server.
+        """Parse one server record; return None if the record updates no server.
 
         An invalid record does not invalidate the whole list, whose other records may report draining servers.
         A listed server with an invalid record counts as draining until a valid record arrives. A record
@@ -141,7 +146,11 @@
         return self.zone_numbers.setdefault(name, len(self.zone_numbers))
 
     def _convert_start(self, name: bytes, unix_started_at: float) -> float:
-        """Convert a start time only when it is first listed, as the wall clock may be stepped at any time."""
+        """Convert a server's start time from Unix time to the loop's clock.
+
+        A start time is converted only when it is first listed, because the wall clock may be stepped at any
+        time.
+        """
         if not unix_started_at:
             return 0.0
         previous = self.endpoints.get(name)
--- a/stepsail/platform/endpoint_table.py
+++ b/stepsail/platform/endpoint_table.py
@@ -10,12 +10,16 @@
 from stepsail.proxy.decision_host import DecisionHost
 from stepsail.settings.model import Address
 
-# s after which a server that is gone is removed; late results of its attempts have arrived by then.
+# Time in seconds after which a server that is gone is removed. Late results of attempts at the server have
+# arrived by then.
 GONE_ENDPOINT_TTL = 30.0
 
 
 class EndpointTable:
-    """The servers by name; `on_stale_connections` is called for a server whose connections are unusable."""
+    """The servers of the endpoint list, keyed by name.
+
+    `on_stale_connections` is called with the name of a server whose connections have become unusable.
+    """
 
     def __init__(self, loop: Loop, host: DecisionHost) -> None:
         self.loop = loop
@@ -29,7 +33,7 @@
         return endpoint.address, endpoint.identity
 
     def apply(self, updates: Iterable[EndpointUpdate], snapshot: bool, cached: bool) -> None:
-        """Apply the updates of one list and report them to the router, all with the same clock reading.
+        """Apply the updates of one endpoint list and report them to the router with one clock reading.
 
         Args:
             updates: The updates that the list contains.
@@ -44,7 +48,7 @@
         self.host.router.endpoint_list_received(snapshot, cached)
 
     def remove_expired(self) -> None:
-        """Remove servers that are long gone, here and in the host, so that memory use stays bounded."""
+        """Remove servers that are long gone from this table and the host, in order to bound memory use."""
         gone_before = self.loop.now() - GONE_ENDPOINT_TTL
         expired = [
             name
@@ -85,4 +89,4 @@
 
 
 def _do_nothing(name: bytes) -> None:
-    """Do nothing, as there are no connections to servers yet."""
+    """Do nothing, because there are no connections to servers yet."""
--- a/stepsail/platform/endpoint_watch.py
+++ b/stepsail/platform/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Keeps a watch on the endpoint list, by a series of calls that each deliver a list and then its changes.
+"""Keeps a watch on the endpoint list open, by calls that each deliver a list and then its changes.
 
 The changes that are missed when a watch falls silent count as known to the instance 6 s after the last event
 (`decisions.list_lease`). The watch is replaced within that time: the silence timeout, one failed call and a
@@ -20,10 +20,11 @@
 from stepsail.proxy.decision_host import DecisionHost, Logger
 from stepsail.proxy.json_client import CallError
 
-SILENCE_TIMEOUT = 2.5  # s without an event after which a watch is closed; keep-alives arrive every 2 s
-MIN_WATCH_INTERVAL = 0.3  # s between the starts of two watches
-MAX_LOGGED_ERROR = 200  # characters
-MAX_LOGGED_CRASH = 500  # characters
+# Time in seconds without an event after which a watch is closed. Discovery sends keep-alives every 2 s.
+SILENCE_TIMEOUT = 2.5
+MIN_WATCH_INTERVAL = 0.3  # shortest time in seconds between the starts of two watches
+MAX_LOGGED_ERROR = 200  # longest error text in a log line, in characters
+MAX_LOGGED_CRASH = 500  # longest text of an unexpected exception in a log line, in characters
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,17 +32,19 @@
     """Limits of the calls that open a watch.
 
     Attributes:
-        calls: How many consecutive calls may fail before the next one is delayed by the pacing.
-        list_timeout: Seconds from the start of each call within which its list has to arrive.
+        calls: Number of consecutive failed calls after which the call pacing delays the next call.
+        list_timeout: Time in seconds from the start of a call within which the endpoint list has to arrive.
     """
 
     calls: int
     list_timeout: float
 
 
-# Many instances may call at the same time, and discovery answers them one after the other.
+# The default limits. The timeout is long because many instances may call discovery at the same time, and
+# discovery answers them one after the other.
 DEFAULT_BUDGET = CallBudget(calls=1, list_timeout=3.0)
-# The silence of the previous watch has already used up a part of the lease.
+# Limits for replacing a watch. The timeout is short because the silence of the previous watch has already
+# used up a part of the lease.
 REPLACEMENT_BUDGET = CallBudget(calls=2, list_timeout=1.5)
 
 
@@ -50,10 +53,10 @@
     """The state of one watch.
 
     Attributes:
-        called_at: When the call was made.
-        requested_index: Index of the current list when the call was made.
-        lists_received: How many lists had been received, from any call, when this watch last delivered one.
-        last_event_at: When the last event, a list or a keep-alive, arrived.
+        called_at: Time at which the call that opened the watch was made.
+        requested_index: Index of the current endpoint list when the call was made.
+        lists_received: Number of lists received from all calls when this watch last delivered a list.
+        last_event_at: Time at which the last event, a list or a keep-alive, arrived.
         connected: Whether discovery accepted the connection.
         established: Whether the watch has delivered a list, so that its keep-alives confirm the current list.
         only_keep_alives: Whether the watch has delivered keep-alives but no list.
@@ -71,7 +74,7 @@
 
 
 class EndpointWatcher:
-    """Keeps a watch open; `task` is None before the first start."""
+    """Keeps a watch on the endpoint list open; `task` is None before the first start."""
 
     def __init__(
         self,
@@ -93,13 +96,13 @@
         self.task: Task | None = None
 
     def start(self) -> None:
-        """Start to keep a watch open; do nothing if one is kept open already."""
+        """Start to keep a watch open; do nothing if a watch is kept open already."""
         if self.task is None or self.task.done:
             delay = 0.0 if self.receiver.first_list_received.is_set else self.pacing.start_delay()
             self._spawn(DEFAULT_BUDGET, delay)
 
     def restart(self) -> None:
-        """Close the watch and open another one at once, as discovery has a new address."""
+        """Close the watch and open another watch at once, because discovery has a new address."""
         if self.task:
             self.task.cancel()
         self._spawn(REPLACEMENT_BUDGET, 0.0)
@@ -108,7 +111,7 @@
         self.task = self.loop.spawn(self._run, budget, delay, name="discovery")
 
     def _run(self, budget: CallBudget, delay: float) -> None:
-        """Open one watch after another until cancelled, each at the index that the previous one reached."""
+        """Open one watch after another until cancelled, each at the current list's index."""
         self.loop.sleep(delay)
         calls_left = budget.calls
         while True:
@@ -116,7 +119,8 @@
             watch = self._run_watch(budget.list_timeout)
             if watch.established:
                 self.pacing.succeeded()
-                # A watch that discovery closed ended without a silence: there is time for the usual timeout.
+                # If discovery closed the watch, there was no silence before its end, so there is time for
+                # the default timeout.
                 budget = DEFAULT_BUDGET if watch.ended_by_peer else REPLACEMENT_BUDGET
                 calls_left = budget.calls
             else:
@@ -140,7 +144,7 @@
                 self._receive_events(watch, response, list_timeout)
         except (CallError, PlatformError) as error:
             self._record_end(watch, error)
-        except Exception as error:  # a bug here must not leave the list outdated for ever
+        except Exception as error:  # A bug here must not leave the endpoint list outdated for ever.
             self._report_crash(error)
         finally:
             if watch.established:
@@ -154,7 +158,10 @@
             self._handle_event(watch, message, response.received_at)
 
     def _handle_event(self, watch: Watch, message: Any, received_at: float) -> None:
-        """Handle a list, or a keep-alive, which confirms the current list once the watch is established."""
+        """Handle an event of a watch, which is a list or a keep-alive.
+
+        Once the watch is established, a keep-alive confirms the current list.
+        """
         watch.last_event_at = self.loop.now()
         if message is None and not watch.established:
             watch.only_keep_alives = True
@@ -170,7 +177,8 @@
             self._establish(watch)
 
     def _establish(self, watch: Watch) -> None:
-        # Discovery may have created the first list at any time since the call was made.
+        # The lease is confirmed only as of the call, because discovery may have created the first list at any
+        # time since then.
         self.lease.confirm(watch.called_at, by_watch=True)
         watch.established = True
         watch.only_keep_alives = False
@@ -186,7 +194,8 @@
     def _record_end(self, watch: Watch, error: Exception) -> None:
         watch.connected = not isinstance(error, CallError) or error.may_have_run
         watch.ended_by_peer = self.loop.now() < watch.last_event_at + SILENCE_TIMEOUT
-        # Discovery waits for a change, and the watch has delivered no list: the next one requests a snapshot.
+        # The watch has delivered no list, because discovery waits for a change. The next watch therefore
+        # requests a snapshot.
         if watch.only_keep_alives:
             self.receiver.request_snapshot()
         self.log.warning(
--- a/stepsail/platform/errors.py
+++ b/stepsail/platform/errors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MAX_SHOWN_CHARACTERS = 60  # of an invalid value in an error message
+MAX_SHOWN_CHARACTERS = 60  # longest text of an invalid value in an error message
 
 
 class PlatformError(Exception):
@@ -30,11 +30,13 @@
 
 
 class MissedChanges(PlatformError):
-    """Discovery sent changes to a list older than the current one, so that changes in between are unknown.
+    """Discovery sent changes to a list that is older than the current endpoint list.
+
+    The changes between the two lists are therefore unknown.
 
     Attributes:
-        index: Index of the changes.
-        current_index: Index of the current list.
+        index: List index that the message with the changes contains.
+        current_index: Index of the current endpoint list.
     """
 
     def __init__(self, index: int, current_index: int) -> None:
--- a/stepsail/platform/json_fields.py
+++ b/stepsail/platform/json_fields.py
@@ -6,7 +6,8 @@
 
 from stepsail.platform.errors import InvalidField
 
-MAX_EXACT_INTEGER = 2**53  # up to this, every JSON parser represents whole numbers exactly
+# Largest whole number up to which every JSON parser represents all whole numbers exactly.
+MAX_EXACT_INTEGER = 2**53
 MAX_NUMBER = 1e15
 EXPECTED_ADDRESS = "an address such as 10.0.0.4:7070"
 MAX_OCTET = 255
@@ -29,7 +30,7 @@
 
 
 def require_number(message: Any, field: str, minimum: float = 0.0, maximum: float = MAX_NUMBER) -> float:
-    """Return a number within its range.
+    """Return the number in a field if it is from `minimum` to `maximum`.
 
     Raises:
         InvalidField: The field is missing, not a number, or out of range.
@@ -41,7 +42,7 @@
 
 
 def require_integer(message: Any, field: str, maximum: int = MAX_EXACT_INTEGER) -> int:
-    """Return a whole number from 0 to `maximum`; 3.0 is accepted as 3.
+    """Return the whole number in a field if it is from 0 to `maximum`; 3.0 is accepted as 3.
 
     Raises:
         InvalidField: The field is missing, not a whole number, or out of range.
@@ -53,10 +54,10 @@
 
 
 def parse_address(text: Any, field: str = "address") -> tuple[str, int]:
-    """Parse `host:port` with an IPv4 host.
+    """Parse an address of the form `host:port`, whose host is an IPv4 address.
 
     Raises:
-        InvalidField: The value does not have this form.
+        InvalidField: The text does not have the form `host:port` with an IPv4 host.
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     octets = host.split(".")
--- a/stepsail/platform/json_log.py
+++ b/stepsail/platform/json_log.py
@@ -1,8 +1,8 @@
 """Logs JSON lines to standard error, rate-limited so that a burst of errors does not delay clients.
 
-There are two limits, so that lines about single requests never displace those about the state of the
-instance: `info`, `warning` and `error` share the first, `debug` has the second. Dropped lines are counted,
-and the next line under the same limit contains the count.
+There are two rate limits, so that lines about single requests never displace lines about the state of the
+instance. Lines of `info`, `warning` and `error` share the first limit; lines of `debug` have the second.
+Dropped lines are counted, and the next line under the same limit contains the count.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class LineRateLimit:
-    """A token bucket that limits the rate of log lines and counts the dropped ones."""
+    """A token bucket that limits the rate of log lines and counts the lines that it drops."""
 
     def __init__(self, per_second: float, burst: float, now: float) -> None:
         self.per_second = per_second
@@ -31,7 +31,7 @@
         self.dropped = 0
 
     def try_take(self, now: float, always: bool) -> bool:
-        """Return whether a line may be written at `now`; with `always`, it may even without a token."""
+        """Return whether a line may be written at `now`; with `always`, no token is needed."""
         self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.per_second)
         self.refilled_at = now
         if self.tokens < 1 and not always:
--- a/stepsail/platform/json_stream.py
+++ b/stepsail/platform/json_stream.py
@@ -2,7 +2,7 @@
 
 A JSON string contains no unescaped line break, so no string extends over several lines. Outside of strings, a
 value ends where as many brackets have been closed as were opened. A line may contain one value, a part of
-one, or several. The module does no I/O.
+a value, or several values. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from stepsail.platform.errors import InvalidJson
 
 STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
-KEEP_ALIVE: dict[str, Any] = {}  # the value of an empty line between two values; compare by identity
+KEEP_ALIVE: dict[str, Any] = {}  # the value of an empty line between two JSON values; compare it by identity
 CLOSING_BRACKETS = (b"}", b"]")
 
 
@@ -28,7 +28,7 @@
         self.max_value_bytes = max_value_bytes
         self.value_lines = bytearray()  # the complete lines of a value that has not ended
         self.partial_line = b""
-        self.open_brackets = 0  # at the end of `value_lines`
+        self.open_brackets = 0  # number of brackets still open at the end of `value_lines`
         self.values: deque[Any] = deque()
         self.decoder = JSONDecoder()
 
@@ -47,7 +47,7 @@
             raise InvalidJson(f"expected values of at most {self.max_value_bytes} bytes, found a larger one")
 
     def next(self) -> Any | None:
-        """Return the next complete value, KEEP_ALIVE for an empty line, or None if there is neither yet."""
+        """Return the next complete value, KEEP_ALIVE for an empty line, or None if neither has arrived."""
         return self.values.popleft() if self.values else None
 
     @property
@@ -56,7 +56,10 @@
         return bool(self.value_lines.strip() or self.partial_line.strip())
 
     def _feed_unterminated_value(self) -> None:
-        """Parse a value without a line break after it, which would otherwise wait for the next line break."""
+        """Parse a complete value that no line break follows yet.
+
+        The value would otherwise not be returned before the next line break.
+        """
         if not self.partial_line.rstrip().endswith(CLOSING_BRACKETS):
             return
         balance = self._bracket_balance(self.partial_line)
@@ -82,7 +85,7 @@
 
     @staticmethod
     def _bracket_balance(line: bytes) -> int | None:
-        """Return opening minus closing brackets on the line; None if a string does not end on it."""
+        """Return the number of opening minus closing brackets; None if a string does not end on the line."""
         without_strings = STRING.sub(b"", line)
         if b'"' in without_strings:
             return None
@@ -97,7 +100,7 @@
             self._decode_several(data)
 
     def _decode_several(self, data: bytes) -> None:
-        """Decode several values on one line."""
+        """Decode several JSON values that are on one line."""
         try:
             text = data.decode().strip()
             position = 0
--- a/stepsail/platform/release_control.py
+++ b/stepsail/platform/release_control.py
@@ -1,4 +1,4 @@
-"""Receives release control's events over an open stream and sends it votes, each in a call of its own."""
+"""Receives release control's events over an open stream and sends votes to it, each in a separate call."""
 
 from __future__ import annotations
 
@@ -19,12 +19,15 @@
 from stepsail.proxy.json_client import CallError
 from stepsail.settings.model import Address, InstanceSettings
 
-FIRST_EVENT_TIMEOUT = 3.0  # s until the response begins; the release state is the first event of the stream
-SILENCE_TIMEOUT = 4.0  # s without an event after which the stream is closed; keep-alives arrive every second
-MAX_OPEN_VOTES = 4  # votes waiting for their responses; a further vote fails without a call
+# Longest time in seconds until the response begins. The release state is the first event of the stream.
+FIRST_EVENT_TIMEOUT = 3.0
+# Time in seconds without an event after which the stream is closed. Keep-alives arrive every second.
+SILENCE_TIMEOUT = 4.0
+# Largest number of votes that may wait for their responses. A further vote fails without a call.
+MAX_OPEN_VOTES = 4
 MAX_BUILD = 65535
 MAX_STAGE = 255
-MAX_LOGGED_ERROR = 200  # characters
+MAX_LOGGED_ERROR = 200  # longest error text in a log line, in characters
 
 
 class PlatformReleaseControl:
@@ -56,11 +59,11 @@
         self.task: Task | None = None
 
     def start(self) -> None:
-        """Start to receive events."""
+        """Start to receive events of release control."""
         self.task = self.loop.spawn(self._receive_events, name="events")
 
     def set_address(self, address: Address) -> None:
-        """Apply the address from a new configuration; if it differs, receive events from there."""
+        """Apply release control's address from a new configuration; if changed, reopen the event stream."""
         if address == self.address:
             return
         self.address = address
@@ -88,7 +91,7 @@
         )
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Send a vote in the background and report its receipt to the router."""
+        """Send a vote on a build in the background and report the vote's receipt to the router."""
         self.loop.spawn(self._vote, build, stage, verdict, name="vote")
 
     def _receive_events(self) -> None:
@@ -139,7 +142,7 @@
             self.host.call_router(server.answer_disputed, class_index, age)
 
     def _class_index(self, body: dict[str, Any]) -> int | None:
-        """Return a request class's index by its name; None if the settings have no such class."""
+        """Return the index of the request class that a message names; None if it is not in the settings."""
         name = require(body, wire_names.RELEASE_CLASS, str)
         class_names = self.settings.class_names
         return class_names.index(name) if name in class_names else None
@@ -175,10 +178,10 @@
             return VoteReceipt.UNKNOWN
 
     def _read_receipt(self, response: Response, superseded: bool) -> VoteReceipt:
-        """Derive a vote's receipt from the response; it is unknown if the body does not match the status.
+        """Derive a vote's receipt from the response; if its body does not match its status, return UNKNOWN.
 
-        The response to a counted vote also contains the release state. It is passed to the router unless it
-        was superseded by an event or a change of address.
+        The response to a counted vote also contains the release state. The release state is passed to the
+        router unless an event or a change of release control's address has superseded it.
         """
         body = msgspec.json.decode(response.body)
         if response.status == HTTPStatus.OK:
--- a/stepsail/platform/streaming_response.py
+++ b/stepsail/platform/streaming_response.py
@@ -1,4 +1,4 @@
-"""Makes calls to discovery and release control, with a complete response or a stream of JSON messages."""
+"""Calls discovery and release control for a complete response or a stream of JSON messages."""
 
 from __future__ import annotations
 
@@ -25,7 +25,9 @@
 
 
 def call(loop: Loop, address: Address, method: bytes, target: bytes, body: Any, timeout: float) -> Response:
-    """Make one call on a new connection, so that a failure shows most clearly whether the call was executed.
+    """Make one call on a new connection.
+
+    On a new connection, a failure shows most clearly whether the call was executed.
 
     Raises:
         CallError: No valid response arrived in time.
@@ -59,17 +61,17 @@
 
 
 class StreamingResponse:
-    """A response that streams JSON messages until the first invalid one; usable as a context manager.
+    """A response that streams JSON messages until the first invalid message; usable as a context manager.
 
     Attributes:
-        received_at: Earliest time at which the last message that `next_message` returned may have arrived.
+        received_at: Earliest time at which the message last returned by `next_message` may have arrived.
     """
 
     def __init__(self, loop: Loop, address: Address, target: bytes, timeout: float) -> None:
         """Make the call and wait for the head of the response.
 
         Raises:
-            CallError: No response arrived in time, or it is not a stream.
+            CallError: No response arrived in time, or the response is not a stream.
         """
         self.loop = loop
         self.messages = JsonValueStream(MAX_RESPONSE_BYTES)
@@ -105,7 +107,7 @@
         """Return the next message; None for a keep-alive.
 
         The timeout applies to the whole message, so that a message that arrives byte by byte does not prolong
-        it.
+        the timeout.
 
         Raises:
             CallError: The response ended, is invalid, or delivered no complete message in time.
@@ -129,6 +131,9 @@
             self.connection.close()
 
     def _data_received_at(self) -> float:
-        """Estimate when the last data arrived; it may have been buffered while the process was suspended."""
+        """Estimate when the last data arrived.
+
+        The data may have been buffered while the process was suspended.
+        """
         assert self.connection
         return self.loop.now() - (self.connection.stream.seconds_since_receive() or self.loop.unread_age())
--- a/stepsail/platform/upstream_protocol.py
+++ b/stepsail/platform/upstream_protocol.py
@@ -15,8 +15,8 @@
 from stepsail.settings.model import Address
 
 FORWARDED_HEADERS = (wire_names.REQUEST_ID_HEADER, wire_names.IDEMPOTENCY_KEY_HEADER)
-MISSING_VALUE = -1.0  # of a column that is missing in a load report
-LOAD_VALUE_LIMIT = 1e9  # a load report with a value of at least this is invalid
+MISSING_VALUE = -1.0  # value of a column that is missing in a load report
+LOAD_VALUE_LIMIT = 1e9  # A load report with a value at or above this limit is invalid.
 OUTCOME_OF_UNSENT_REQUEST = {
     ExchangeEnd.NOT_STARTED: AttemptOutcome.NOT_SENT,
     ExchangeEnd.CANCELLED: AttemptOutcome.NOT_SENT,
@@ -39,7 +39,8 @@
     """Return whether the response says that the request is invalid, so that no other server is tried.
 
     A retry of an invalid request would fail at one server after the other, and the errors would count against
-    good builds. The drawback: if only one server misinterprets a valid request, the request fails needlessly.
+    builds without a defect. The drawback is that a valid request fails needlessly if only one server
+    misinterprets it.
     """
     return HTTPStatus.BAD_REQUEST <= response.status < HTTPStatus.INTERNAL_SERVER_ERROR
 
@@ -47,12 +48,12 @@
 def classify_exchange(end: ExchangeEnd, fully_sent: bool, response: Response | None) -> AttemptOutcome:
     """Return the outcome of an attempt.
 
-    A server starts to run a request when it has received the last byte: a request that broke off earlier
-    never ran, and one that broke off later may have run. An invalid response counts as a failure rather than
-    as a lost connection, as the server is reachable. Only a 503 or 504 with the header for it means that the
-    request was rejected and did not run. Only a 200 with a body, after the whole request was sent, counts as
-    served. A 4xx is no evidence about the server or its build: the attempt ends as if the request had not
-    been sent.
+    A server starts to run a request when it has received the last byte. A request that broke off earlier
+    never ran, and a request that broke off later may have run. An invalid response counts as a failure rather
+    than as a lost connection, because the server is reachable. Only a response with status 503 or 504 and the
+    header REJECTED_HEADER means that the request was rejected and did not run. Only a response with status
+    200 and a body, received after the whole request was sent, counts as served. A 4xx status is no evidence
+    about the server or its build: the attempt ends as if the request had not been sent.
     """
     if end is ExchangeEnd.COMPLETED and response is not None:
         return _outcome_of_response(fully_sent, response)
@@ -87,13 +88,13 @@
         self.settings = settings
         self.locate = locate
         self.load_reports = load_reports
-        # A body that is delimited by the end of the connection cannot be distinguished from a truncated one.
+        # A body that ends with the connection is not allowed, because a truncated body would look the same.
         self.bounds = ConnectionLimits(
             settings.max_head_bytes, settings.max_body_bytes, allow_until_close=False
         )
 
     def encode_attempt(self, request: Request, server: bytes, time_left: float) -> bytes:
-        """Encode a request whose client waits for `time_left` more seconds."""
+        """Encode the request of a client that waits for `time_left` more seconds."""
         headers = [
             (b"host", wire_names.SERVICE_HOST),
             *(header for header in request.headers if header[0] in FORWARDED_HEADERS),
@@ -113,17 +114,17 @@
         return is_client_error(response)
 
     def load_report(self, response: Response) -> tuple[float, ...]:
-        """Return the load report in a response's header; empty without one."""
+        """Return the load report in a response's header; empty without a load report."""
         if not self.load_reports:
             return ()
         return self._load_values(response.header(wire_names.LOAD_REPORT_HEADER) or b"")
 
     def response_headers(self, response: Response, server: bytes) -> Headers:
-        """Return no headers: none of a served response is sent to the client."""
+        """Return no headers, because no header of a server's response is sent to the client."""
         return []
 
     def encode_health_check(self, server: bytes) -> bytes:
-        """Encode a health check."""
+        """Encode a health check request to a server."""
         path = wire_names.LOAD_PATH if self.load_reports else wire_names.PING_PATH
         return encode_request(b"GET", path, [(b"host", wire_names.SERVICE_HOST)])
 
@@ -134,7 +135,7 @@
         return self._load_values(response.body) or self.load_report(response)
 
     def _load_values(self, text: bytes) -> tuple[float, ...]:
-        """Return a report's values in the order of the settings' columns; empty unless all are valid."""
+        """Return a load report's values in the order of the settings' columns; empty unless all are valid."""
         reported = orca_values(text)
         values = tuple(_column_value(reported, column) for column in self.settings.router.load_report_columns)
         return values if all(0.0 <= value < LOAD_VALUE_LIMIT for value in values) else ()
--- a/stepsail/platform/wire_names.py
+++ b/stepsail/platform/wire_names.py
@@ -1,6 +1,7 @@
-"""Constants for the paths, headers, fields and values of the platform's protocol, grouped by counterpart.
+"""Constants for the paths, headers, fields and values of the platform's protocol.
 
-The values are defined by the platform and must not change; the names of the constants may.
+The constants are grouped by the communication partner that uses them. Their values are defined by the
+platform and must not change; the names of the constants may change.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 
 # Environment variables
 CONFIGURATION_VARIABLE = "PROXY_CONFIG"  # path of the configuration file
-LISTEN_VARIABLE = "PROXY_LISTEN"  # listen address for clients; overrides the one in the configuration file
+LISTEN_VARIABLE = "PROXY_LISTEN"  # listen address for clients; overrides CONFIG_LISTEN
 
 # Configuration file
 CONFIG_SETTINGS = "settings"  # the flat settings, as a nested object
@@ -19,14 +20,14 @@
 CONFIG_RELEASE_CONTROL_ADDRESS = "address"
 CONFIG_RELEASE_STATE = "news"  # release state of the newest build at the start
 CONFIG_CACHED_LIST = "known"  # endpoint list from before the start
-CONFIG_SEED = "seed"  # hexadecimal
+CONFIG_SEED = "seed"  # seed of random choices, as a hexadecimal number
 CONFIG_LIMITS = "limits"
 CONFIG_SOCKET_LIMIT = "sockets"  # maximum number of open file descriptors of the process
 
 # Clients
 HEALTH_PATH = b"/_health"
 REQUEST_ID_HEADER = b"x-call-id"
-TIME_LEFT_HEADER = b"x-budget-ms"  # milliseconds that the sender, a client or this instance, still waits
+TIME_LEFT_HEADER = b"x-budget-ms"  # milliseconds for which the sender of a request still waits
 RETRY_HEADER = b"x-again"  # present on a client's retry
 IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
 TENANT_HEADER = b"x-caller"  # name of a tenant
@@ -38,10 +39,11 @@
 # Servers
 SERVICE_HOST = b"service.internal"  # value of the host header
 LOAD_REPORT_HEADER = b"x-load-report"
-REJECTED_HEADER = b"x-rejected"  # value 1: the server has not run the request
+REJECTED_HEADER = b"x-rejected"  # The value 1 means that the server has not run the request.
 PING_PATH = b"/ping"
 LOAD_PATH = b"/_load"
-LOAD_REPORT_FIELDS = {  # column in the settings -> its names in load reports, in order of preference
+# Maps each column in the settings to its names in load reports, in order of preference.
+LOAD_REPORT_FIELDS = {
     "q": ("queue", "q"),
     "rif": ("inflight", "rif"),
     "busy": ("util", "busy"),
@@ -52,14 +54,14 @@
 
 # Endpoint discovery
 ENDPOINTS_PATH = b"/catalog/members"
-WATCH_PATH = b"/catalog/members?stream=1&index=%d"  # %d: index of the current list
-LIST_INDEX = "index"  # version of a list; increases with every change
-LIST_IS_SNAPSHOT = "snapshot"  # whether a list is complete; otherwise it contains only changes
+WATCH_PATH = b"/catalog/members?stream=1&index=%d"  # %d is the index of the current endpoint list.
+LIST_INDEX = "index"  # version of an endpoint list; increases with every change
+LIST_IS_SNAPSHOT = "snapshot"  # whether an endpoint list is complete; otherwise it contains only changes
 LIST_ENDPOINTS = "endpoints"
 ENDPOINT_NAME = "name"
 ENDPOINT_ADDRESS = "address"
 ENDPOINT_STATE = "status"
-ENDPOINT_STARTED_AT = "since_ms"  # Unix time in milliseconds; 0 means long ago
+ENDPOINT_STARTED_AT = "since_ms"  # server's start, Unix time in milliseconds; 0 means long ago
 ENDPOINT_BUILD = "revision_no"
 ENDPOINT_ZONE = "zone"
 ENDPOINT_CELL = "group"
@@ -102,14 +104,16 @@
     "live": ReleasePhase.RELEASED,
     "recalled": ReleasePhase.WITHDRAWN,
 }
-VOTE_RECEIPTS = {  # by the HTTP status of the response
+# Maps the HTTP status of the response to a vote to the vote's receipt.
+VOTE_RECEIPTS = {
     200: VoteReceipt.COUNTED,
     429: VoteReceipt.RATE_LIMITED,
     409: VoteReceipt.OUTDATED,
     500: VoteReceipt.ERROR,
     400: VoteReceipt.ERROR,
 }
-VOTE_ERRORS = {  # error name that the body of a response with this status must contain
+# Maps the HTTP status of the response to a vote to the error name that its body must contain.
+VOTE_ERRORS = {
     429: "Throttling",
     409: "ConditionFailed",
     500: "InternalFailure",
--- a/stepsail/settings/argument_reader.py
+++ b/stepsail/settings/argument_reader.py
@@ -12,7 +12,7 @@
 
 
 class ArgumentReader:
-    """Parses the values on one line and adds errors to the settings tree."""
+    """Parses the values on one line of a settings file and adds errors to the settings tree."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         return values
 
     def _take_keyword(self, argument: Argument) -> bool:
-        """Consume the keyword of an argument, if it has one; return whether its value may follow."""
+        """Consume an argument's keyword, if any; return whether the argument's value may follow."""
         if not argument.keyword:
             return True
         if self.remaining and self.remaining[0].text == argument.keyword:
--- a/stepsail/settings/consistency.py
+++ b/stepsail/settings/consistency.py
@@ -1,4 +1,7 @@
-"""Checks of consistency between settings. Messages name a setting as it is written in the file."""
+"""Checks that settings are consistent with each other.
+
+Error messages name a setting as it is written in the settings file.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,9 @@
 from stepsail.settings.model import MAX_ZONE_NAME_LENGTH
 from stepsail.settings.tree import SettingsTree
 
-VOTER_COUNTS = (3, 5)  # odd, so that the voters cannot split into two equal halves
+# Allowed numbers of voters on policy changes. They are odd, so that the voters cannot split into two
+# equal halves.
+VOTER_COUNTS = (3, 5)
 
 Values = dict[str, Any]
 
@@ -103,7 +108,7 @@
 def _check_routes(
     tree: SettingsTree, index: int, request_class: Values, classes_by_route: dict[tuple[str, str], str]
 ) -> None:
-    """Check that no route belongs to two classes, and add this class's routes to `classes_by_route`."""
+    """Check that no route belongs to two request classes; add the class's routes to `classes_by_route`."""
     for route_index, route_values in enumerate(request_class["route"]):
         route = (route_values["method"], route_values["path"])
         if route in classes_by_route:
--- a/stepsail/settings/definitions.py
+++ b/stepsail/settings/definitions.py
@@ -1,4 +1,4 @@
-"""All settings of an instance's settings file, and those that version 2 of the file format requires."""
+"""Definitions of all settings of an instance, and the settings that version 2 of the format requires."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from stepsail.settings.service_definitions import LIMITS, RELEASE, REQUEST_CLASS, SERVERS
 
 FORMAT_WITHOUT_DEFAULTS = 2
-# The rules and the votes depend on these settings, whose right values differ between deployments. Files with
-# `shape 2` therefore have to give them.
+# The router's rules and its votes to promote or roll back a build depend on these settings, whose right
+# values differ between deployments. Settings files with `shape 2` therefore have to contain these settings.
 REQUIRED_IN_FORMAT_2 = {
     "release": (
         "control",
--- a/stepsail/settings/errors.py
+++ b/stepsail/settings/errors.py
@@ -1,4 +1,7 @@
-"""Errors in settings files. All errors of a file are collected, so that one check reports them all."""
+"""Errors in settings files.
+
+All errors of a file are collected, so that one check of the file reports all of them.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +56,7 @@
 
     Attributes:
         column: Column of the error, counted from 1.
-        expected: What the grammar allows at that column.
+        expected: Description of what the grammar allows at that column.
     """
 
     def __init__(self, column: int, expected: str) -> None:
--- a/stepsail/settings/flat_settings.py
+++ b/stepsail/settings/flat_settings.py
@@ -1,6 +1,6 @@
 """Flat settings: pairs of a dotted path and a text, as the simulator and the platform pass them.
 
-The simulator and the platform use the same paths. Only this module maps them to the router's settings.
+The simulator and the platform use the same paths. Only this module maps these paths to the router's settings.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class FlatSettings:
-    """Typed access to flat settings by path; the value of an absent path is empty, zero or false."""
+    """Gives typed access to flat settings; the value at an absent path is empty, zero or false."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self.pairs = pairs
@@ -45,7 +45,7 @@
         return float(self.pairs.get(path) or default)
 
     def seconds(self, path: str) -> float:
-        """Return the time at a path, which is written in milliseconds, in seconds."""
+        """Return the time at a path in seconds; the text at the path is in milliseconds."""
         return self.number(path) / MS_PER_S
 
     def integer(self, path: str) -> int:
@@ -66,12 +66,12 @@
 
 
 def parse_pairs(text: str) -> dict[str, str]:
-    """Parse a text with one `path=value` per line, the simulator's form, into pairs."""
+    """Parse the simulator's form of flat settings, a text with one `path=value` per line, into pairs."""
     return dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
 
 def flatten_json(value: Any, path: str = "") -> dict[str, str]:
-    """Flatten a nested JSON value, the platform's form, into the pairs that the simulator would write."""
+    """Flatten the platform's nested JSON value into the pairs that the simulator would write."""
     if isinstance(value, dict):
         return _flatten_mapping(value, path)
     if isinstance(value, list) and any(isinstance(item, dict) for item in value):
@@ -92,9 +92,9 @@
 
 
 def _format_scalar(value: Any) -> str:
-    """Format a value as the simulator does.
+    """Format a single value in the simulator's form.
 
-    Spaces and commas become underscores, as they separate values in the simulator's form.
+    Spaces and commas become underscores, because they separate values in the simulator's form.
     """
     if isinstance(value, bool):
         return "true" if value else "false"
@@ -102,7 +102,7 @@
 
 
 def read_router_settings(pairs: Mapping[str, str]) -> RouterSettings:
-    """Build the router's settings from flat settings, one field per line; other paths are ignored."""
+    """Build the router's settings from flat settings; paths that are not read here are ignored."""
     flat = FlatSettings(pairs)
     tenants = range(flat.integer("Realms.count"))
     return RouterSettings(
--- a/stepsail/settings/grammar.py
+++ b/stepsail/settings/grammar.py
@@ -8,10 +8,11 @@
 
 from stepsail.settings.errors import SettingsSyntaxError
 
-MAX_LINE_LENGTH = 2000  # characters
-FIRST_PRINTABLE = 32  # code point of the space
+MAX_LINE_LENGTH = 2000  # longest line of a settings file, in characters
+FIRST_PRINTABLE = 32  # code point of the space, the first printable character
 
-# Unquoted values may contain any character but whitespace, quotes, braces and `#`: addresses need no quotes.
+# Unquoted values may contain any character but whitespace, quotes, braces and `#`. Addresses therefore
+# need no quotes.
 GRAMMAR = r"""
     start: [WORD value* [OPEN]] | CLOSE
     value: QUOTED | BARE | WORD
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """One value without its quotes, and the column, counted from 1, at which it begins."""
+    """One value without its quotes, and the column, counted from 1, at which the value begins."""
 
     text: str
     column: int
@@ -42,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One parsed line.
+    """One parsed line of a settings file.
 
     Attributes:
         name: Name of the setting; empty for a blank line, a comment, and the end of a block.
         column: Column of the first token, counted from 1.
-        values: Values after the name.
+        values: Values after the name of the setting.
         opens: Whether the line opens a block.
         closes: Whether the line closes a block.
     """
@@ -63,7 +64,7 @@
 
 
 def parse_line(text: str) -> Line:
-    """Parse one line.
+    """Parse one line of a settings file.
 
     Raises:
         SettingsSyntaxError: The line does not follow the grammar.
--- a/stepsail/settings/loader.py
+++ b/stepsail/settings/loader.py
@@ -27,7 +27,7 @@
 from stepsail.settings.schema import with_defaults
 from stepsail.settings.service_definitions import LIMITS, RELEASE, REQUEST_CLASS, SERVERS
 
-# Columns of a load report: their names in settings files and in the router's settings.
+# Maps the name of a load report's column in settings files to its name in the router's settings.
 LOAD_REPORT_COLUMNS = {"queue": "q", "inflight": "rif", "util": "busy", "latency_ms": "lat_ms"}
 NO_LOAD_REPORT = {"how": "answers", "columns": []}
 DEFAULT_LOG_FORMAT = "json"
@@ -50,7 +50,7 @@
 
 
 def _instance_settings(top: Values, folder: Path) -> InstanceSettings:
-    """Build the settings from the top-level values, one field per line; paths are relative to `folder`."""
+    """Build an instance's settings from the top-level values; relative paths are resolved in `folder`."""
     servers = with_defaults(SERVERS, top["servers"] or {})
     limits = with_defaults(LIMITS, top["limits"] or {})
     listener = with_defaults(LISTENER, top["listener"] or {})
@@ -107,7 +107,7 @@
 
 
 def _router_settings(top: Values, servers: Values, limits: Values, gossip_enabled: bool) -> RouterSettings:
-    """Build the router's settings from the top-level values and two blocks, one field per line."""
+    """Build the router's settings from the top-level values and the blocks `servers` and `limits`."""
     release = with_defaults(RELEASE, top["release"])
     load_report = servers["load_report"] or NO_LOAD_REPORT
     tenants = top["tenants"] or []
@@ -204,7 +204,7 @@
 
 
 def _resolve_path(folder: Path, values: Values | None, name: str) -> Path | None:
-    """Return the path in a setting's values, resolved against the folder; None if it is absent."""
+    """Return the path in a setting's values, resolved in the folder; None if the values contain no path."""
     if values is None or name not in values:
         return None
     return folder / str(values[name])
--- a/stepsail/settings/migration.py
+++ b/stepsail/settings/migration.py
@@ -1,8 +1,8 @@
-"""Rewrites a settings file of format version 1 (`shape 1`) in version 2, with notes for the operator.
+"""Rewrites a settings file from format version 1 (`shape 1`) to version 2, with notes for the operator.
 
-Version 2 has no defaults for settings on which rules and votes depend. For each of them that the old file
-omits, the new file gives the default of version 1, and a note asks the operator to decide on it. The
-migration decides nothing.
+Version 2 has no defaults for settings on which the router's rules and its votes on builds depend. For each
+such setting that the old file omits, the new file contains the default of version 1, and a note asks the
+operator to decide on the value. The migration itself decides nothing.
 """
 
 from __future__ import annotations
@@ -22,12 +22,13 @@
 from stepsail.settings.schema import Argument, Setting, find_setting
 from stepsail.settings.tree import SettingsTree
 
-# Settings with a path, which may be relative to the folder of the settings file.
+# Settings that contain a path, which may be relative to the folder of the settings file.
 PATH_SETTINGS = (("capture", "folder"), ("roster", "keep"), ("trail", "folder"))
 INDENT = "    "
 SPECIAL_CHARACTERS = '"{}#\\'
 
-Decisions = Mapping[tuple[str, str], Any]  # (block, setting) to the value that the operator decided on
+# Maps the names of a block and a setting in it to the value that the operator decided on.
+Decisions = Mapping[tuple[str, str], Any]
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +36,7 @@
     """The result of rewriting a settings file in format version 2.
 
     Attributes:
-        text: Text of the new file; empty if the old file has version 2 already.
+        text: Text of the new file; empty if the old file has format version 2 already.
         notes: Notes for the operator, one line each.
     """
 
@@ -49,7 +50,7 @@
     Args:
         file: The old file.
         folder: Folder of the new file.
-        decisions: Values that replace those of the old file and its defaults.
+        decisions: Values that replace the values in the old file and the defaults.
 
     Raises:
         InvalidSettings: The old file has errors.
@@ -86,7 +87,7 @@
         if overwrite:
             temporary.replace(file)
         else:
-            os.link(temporary, file)  # unlike a rename, fails if the file has been created meanwhile
+            os.link(temporary, file)  # Unlike a rename, this fails if the file already exists.
     finally:
         temporary.unlink(missing_ok=True)
 
@@ -114,7 +115,7 @@
 
 
 def _notes_on_comments(tree: SettingsTree) -> Iterator[str]:
-    """Note comments and include lines, which are not copied from the old files."""
+    """Yield notes on comments and include lines, which are not copied from the old files."""
     for name in sorted({location.file for location in tree.locations.values()}):
         if not Path(name).is_file():
             continue
@@ -126,7 +127,7 @@
 
 
 def _notes_on_paths(tree: SettingsTree, file: Path, folder: Path) -> Iterator[str]:
-    """Note relative paths, which have another meaning if the new file is in another folder."""
+    """Yield notes on relative paths, which change their meaning if the new file is in another folder."""
     if folder.resolve() == file.parent.resolve():
         return
     for block, name in PATH_SETTINGS:
@@ -139,7 +140,7 @@
 
 
 def _notes_on_open_decisions(tree: SettingsTree, values: dict[str, Any]) -> Iterator[str]:
-    """Note other settings on which the operator should decide."""
+    """Yield notes on further settings on which the operator should decide."""
     if not values["release"]["one-way"]:
         yield (
             f"{tree.location_of('release', 'one-way')}: requests with the same key may go back to an earlier "
--- a/stepsail/settings/model.py
+++ b/stepsail/settings/model.py
@@ -7,8 +7,9 @@
 
 from stepsail.decisions.interface import RouterSettings
 
-Address = tuple[str, int]  # host, port
-MAX_ZONE_NAME_LENGTH = 64  # characters; membership messages have no room for longer names
+Address = tuple[str, int]  # host and port
+# Longest name of a zone in characters. Membership messages have no room for a longer name.
+MAX_ZONE_NAME_LENGTH = 64
 
 
 def address_of(text: str) -> Address:
@@ -38,12 +39,12 @@
 
     Attributes:
         listen_address: Address on which the instance receives messages.
-        advertised_address: Address at which the other instances reach it.
+        advertised_address: Address at which the other instances reach this instance.
         seeds: Addresses of some other instances, for joining the membership.
-        probe_period: Seconds between two probes; 0: the default period.
+        probe_period: Time in seconds between two probes of members; 0 means the default period.
         cluster_name: Name of the fleet; messages of other fleets are ignored.
         used_by_router: Whether the router uses the current members, not the configured number of instances.
-        carries_gossip: Whether outcomes of attempts are also gossiped to the members.
+        carries_gossip: Whether outcomes of attempts are also sent to the members as gossip.
     """
 
     listen_address: Address
@@ -84,7 +85,7 @@
         endpoint_cache_file: File that caches the endpoint list across a restart; None: no cache.
         gossip_address: Address on which gossip from peers is received; None: no such address.
         peer_addresses: Addresses to which gossip is sent, by the peers' instance numbers.
-        seed: Seed of random choices; None: drawn at each start.
+        seed: Seed of random choices; None means that a seed is drawn at each start.
         max_connections_per_server: Maximum number of connections to one server.
         connect_timeout: Longest time for establishing a connection to a server.
         answer_slack: Time before the client's deadline by which the router has to answer.
@@ -97,33 +98,34 @@
         client_read_timeout: Longest time from a request's first byte to its last.
         tenant_header: Name of the request header with the tenant's name.
         key_header: Name of the request header with the sticky key.
-        key_secret: Secret with which keys are hashed; empty: drawn at each start.
+        key_secret: Secret with which sticky keys are hashed; if empty, a secret is drawn at each start.
         shutdown_timeout: Longest time for answering the requests in flight after a stop signal.
         log_format: "json" or "console".
         log_level: Minimum level of the lines that are logged.
         trail_folder: Folder of the audit trail; None: no trail is written.
-        trail_durability: What a record survives: "process-crash", "power-loss", "power-loss-each".
+        trail_durability: What a record of the trail survives: "process-crash", "power-loss" or
+            "power-loss-each".
         trail_full_policy: While the trail cannot be written, "deny" rejects requests and "go-on" serves them.
-        trail_commit_interval: Longest time that writing a record may take.
+        trail_commit_interval: Longest time that writing a record of the trail may take.
         trail_segment_bytes: Size of one file of the trail.
         trail_reserve_bytes: Disk space that is reserved for use when the disk is full.
-        trail_max_age: Age at which sealed files are removed; 0: never.
-        trail_max_bytes: Total size of the files above which the oldest are removed; 0: never.
+        trail_max_age: Age at which sealed files of the trail are removed; 0: never.
+        trail_max_bytes: Total size of the trail's files above which the oldest files are removed; 0: never.
         capture_folder: Folder of the captures; None: no captures are written.
-        capture_max_bytes: Maximum total size of the segments.
-        capture_segment_bytes: Approximate size of one segment.
-        capture_max_age: Age at which segments are removed.
-        membership: How the instance takes part in the fleet's membership; None: it doesn't.
+        capture_max_bytes: Maximum total size of the segments of captures.
+        capture_segment_bytes: Approximate size of one segment of a capture.
+        capture_max_age: Age at which segments of captures are removed.
+        membership: How the instance takes part in the fleet's membership; None: it takes no part.
         policy: How instances agree on policy changes; None: there are no policy changes.
         max_server_connections: Maximum number of connections to all servers; 0: only the limit per server.
         connection_reuse_delay: Time for which a connection to a server must be idle before it is reused.
         idle_connection_ttl: Idle time after which a connection to a server is not reused; 0: the router's
             idle timeout.
-        first_request_timeout: Longest time from a client's connecting to its first request; 0: the limit for
-            any other request.
+        first_request_timeout: Longest time from a client's connecting until its first request is
+            complete; 0: the limit for any other request.
         unwatched_list_ttl: Time for which an endpoint list without a watch is used; 0: no separate limit.
         evictable_idle_time: Idle time after which a client connection may be closed to make room for a new
-            one; 0: never.
+            connection; 0: never.
     """
 
     router: RouterSettings
--- a/stepsail/settings/reader.py
+++ b/stepsail/settings/reader.py
@@ -1,4 +1,4 @@
-"""Reads settings files into one checked tree; reports all errors at once, each with its location."""
+"""Reads settings files into one checked tree and reports all errors at once, each with its location."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.tree = SettingsTree()
 
     def read(self, file: Path) -> SettingsTree:
-        """Read a file.
+        """Read a settings file and the files that it includes.
 
         Raises:
             InvalidSettings: The file has errors.
--- a/stepsail/settings/reference.py
+++ b/stepsail/settings/reference.py
@@ -1,4 +1,4 @@
-"""The reference page of the settings, generated from their definitions."""
+"""Generates the reference page of the settings from their definitions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def render_page() -> str:
-    """Return the page in Markdown."""
+    """Return the reference page of the settings in Markdown."""
     parts = [INTRODUCTION, "## Top level of the file\n", *_table(INSTANCE)]
     for setting in INSTANCE:
         if setting.block:
--- a/stepsail/settings/schema.py
+++ b/stepsail/settings/schema.py
@@ -13,8 +13,8 @@
 
 from stepsail.settings.values import VALUE_KINDS
 
-TIME_BOUNDS: dict[str, Any] = {"exclusiveMinimum": 0, "maximum": 86400}  # s
-AGE_BOUNDS: dict[str, Any] = {"minimum": 0, "maximum": 100 * 366 * 86400}  # s
+TIME_BOUNDS: dict[str, Any] = {"exclusiveMinimum": 0, "maximum": 86400}  # range of a time in seconds
+AGE_BOUNDS: dict[str, Any] = {"minimum": 0, "maximum": 100 * 366 * 86400}  # range of an age in seconds
 SHARE_BOUNDS: dict[str, Any] = {"minimum": 0, "maximum": 1}
 
 
@@ -26,7 +26,7 @@
         name: Name of the value in messages, and its key in the tree if the setting has several values.
         kind: A key of VALUE_KINDS.
         bounds: JSON Schema keywords that the value has to satisfy.
-        keyword: Literal word before the value; empty if there is none.
+        keyword: Literal word before the value; empty if no word precedes the value.
         optional: Whether the value may be omitted.
         variadic: Whether the argument takes all remaining values of the line, one or more.
     """
@@ -80,7 +80,7 @@
 
     @property
     def has_single_value(self) -> bool:
-        """Whether the value is that of the only argument, not a mapping from argument names to values."""
+        """Whether the setting's value is its only argument's value, not a mapping from names to values."""
         return not self.block and len(self.arguments) == 1
 
     def json_schema(self) -> dict[str, Any]:
@@ -97,7 +97,7 @@
 
 
 def block_schema(settings: tuple[Setting, ...]) -> dict[str, Any]:
-    """Return the JSON schema of a block with these settings."""
+    """Return the JSON schema of a block in which the given settings are allowed."""
     return {
         "type": "object",
         "properties": {setting.name: setting.json_schema() for setting in settings},
@@ -107,7 +107,7 @@
 
 
 def with_defaults(settings: tuple[Setting, ...], values: Mapping[str, Any]) -> dict[str, Any]:
-    """Return a block's values by `Setting.field`, with the defaults of absent settings."""
+    """Return a block's values keyed by `Setting.field`, with the defaults of absent settings."""
     return {setting.field or setting.name: values.get(setting.name, setting.default) for setting in settings}
 
 
@@ -115,7 +115,7 @@
     """Return the setting with the given name.
 
     Raises:
-        KeyError: There is none.
+        KeyError: No setting has this name.
     """
     for setting in settings:
         if setting.name == name:
--- a/stepsail/settings/tenants.py
+++ b/stepsail/settings/tenants.py
@@ -1,4 +1,4 @@
-"""Lookup of tenants by name."""
+"""Looks up the index of a tenant by its name."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
         self.unknown_index = len(names)
 
     def index(self, name: bytes) -> int:
-        """Return the index of the tenant with this name, or `unknown_index` if there is none."""
+        """Return the index of the tenant with this name, or `unknown_index` if no tenant has this name."""
         return self.indexes.get(name, self.unknown_index)
--- a/stepsail/settings/tree.py
+++ b/stepsail/settings/tree.py
@@ -7,18 +7,18 @@
 
 from stepsail.settings.errors import SettingsError, SourceLocation
 
-MAX_ERRORS = 50  # reported per file
+MAX_ERRORS = 50  # most errors that are reported for a settings file
 
 TreePath = tuple[str | int, ...]  # names of settings and arguments, and indexes of repeated settings
 
 
 @dataclass
 class SettingsTree:
-    """The values of a settings file by the names of the settings.
+    """The values of a settings file, keyed by the names of the settings.
 
     Attributes:
         values: The values: nested mappings for blocks, lists for repeatable settings.
-        locations: Location of each value in its file, by path.
+        locations: Location of each value in its file, keyed by the value's path in the tree.
         errors: Errors found so far, at most MAX_ERRORS.
     """
 
@@ -27,7 +27,7 @@
     errors: list[SettingsError] = field(default_factory=list)
 
     def add_error(self, location: SourceLocation, message: str) -> None:
-        """Add an error, unless there are MAX_ERRORS already."""
+        """Add an error, unless the tree has MAX_ERRORS errors already."""
         if len(self.errors) < MAX_ERRORS:
             self.errors.append(SettingsError(location, message))
 
--- a/stepsail/settings/values.py
+++ b/stepsail/settings/values.py
@@ -12,7 +12,8 @@
 SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
 BYTES_PER_UNIT = {"": 1, "k": 1024, "K": 1024, "m": 1024**2, "M": 1024**2, "g": 1024**3, "G": 1024**3}
 PERCENT = 100
-SHARE_DIGITS = 12  # decimal places to which a share is rounded, so that 8.5% equals 0.085
+# Number of decimal places to which a share is rounded, so that 8.5% equals 0.085.
+SHARE_DIGITS = 12
 RANGE_SEPARATOR = ".."
 MAX_OCTET = 255
 MAX_PORT = 65535
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueKind:
-    """A kind of value.
+    """A kind of value in settings files.
 
     Attributes:
         parse: Parses the text of a value, or raises InvalidValue.
