--- a/stepsail/membership/anti_entropy.py
+++ b/stepsail/membership/anti_entropy.py
@@ -10,8 +10,9 @@
 from stepsail.membership.parameters import DIGEST_BUCKETS, MAX_DATAGRAM_BYTES, MAX_RECORD_DATAGRAMS
 from stepsail.membership.records import MemberRecord
 
-# Values of `Message.probe_id` in DIGESTS messages.
-REQUEST = 0  # the receiver returns its own digests if any differ
+# Values of `Message.probe_id` in DIGESTS messages. The receiver of a request returns its own digests if any
+# of them differ from those in the request.
+REQUEST = 0
 RESPONSE = 1
 
 
@@ -19,8 +20,8 @@
     """Compares this instance's member table with the tables of other members, one at a time.
 
     Attributes:
-        due_at: When the next comparison begins (s); `inf` if none is scheduled.
-        datagrams_left: RECORDS messages that may still be sent in the current period.
+        due_at: Local time in seconds at which the next comparison begins; `inf` if none is scheduled.
+        datagrams_left: Number of RECORDS messages that may still be sent in the current period.
     """
 
     def __init__(self, broadcaster: Broadcaster, table: MemberTable) -> None:
@@ -30,11 +31,11 @@
         self.datagrams_left = MAX_RECORD_DATAGRAMS
 
     def schedule_now(self) -> None:
-        """Schedule a comparison for the next tick."""
+        """Schedule a comparison of member tables for the next tick."""
         self.due_at = self.broadcaster.now
 
     def begin_period(self) -> None:
-        """Reset the period's limit of RECORDS messages."""
+        """Reset the number of RECORDS messages that may be sent in the period."""
         self.datagrams_left = MAX_RECORD_DATAGRAMS
 
     def begin(self) -> None:
@@ -46,14 +47,16 @@
     def handle_digests(self, sender: MemberRecord, message: Message) -> None:
         """Send the sender the records of the buckets whose digests differ.
 
-        The first bucket is chosen at random, because the period's limit may not suffice for all records.
+        The first bucket is chosen at random, because the period's limit of RECORDS messages may
+        not suffice for all records.
         """
         digests = self.table.digests()
         differing = [bucket for bucket in range(DIGEST_BUCKETS) if digests[bucket] != message.digests[bucket]]
         if not differing:
             return
         if message.probe_id == REQUEST:
-            self._send_digests(sender, RESPONSE)  # so that the sender sends its records of these buckets too
+            # The sender then also sends its own records of the buckets that differ.
+            self._send_digests(sender, RESPONSE)
         first = int(self.broadcaster.random() * len(differing))
         rank = {bucket: (position - first) % len(differing) for position, bucket in enumerate(differing)}
         records = [
--- a/stepsail/membership/broadcast_queue.py
+++ b/stepsail/membership/broadcast_queue.py
@@ -12,7 +12,7 @@
     """A queue of at most one record per instance; records with the most transmissions left are sent first.
 
     Attributes:
-        remaining: Transmissions left of each instance's record, by instance number.
+        remaining: Number of transmissions left for each instance's record, by instance number.
         records: The record to send, by instance number.
     """
 
@@ -24,7 +24,10 @@
         return len(self.remaining)
 
     def add(self, record: MemberRecord, transmissions: int) -> None:
-        """Queue a record for this number of transmissions; it replaces an earlier record of the instance."""
+        """Queue a record to be sent this many times.
+
+        The record replaces an earlier record of the same instance.
+        """
         self.records[record.instance] = record
         self.remaining[record.instance] = transmissions
 
--- a/stepsail/membership/broadcaster.py
+++ b/stepsail/membership/broadcaster.py
@@ -29,10 +29,10 @@
     Attributes:
         local: This process's own record.
         timing: The protocol's timeouts.
-        cluster_id: Initial value of the checksum of datagrams; separates clusters.
+        cluster_id: Initial value of the checksum of datagrams, which keeps clusters apart.
         random_seed: Seed of the pseudo-random numbers.
-        random_draws: Pseudo-random numbers drawn so far.
-        now: The local time (s); it never decreases.
+        random_draws: Number of pseudo-random numbers drawn so far.
+        now: The local time in seconds, which never decreases.
         health_score: Lifeguard's local health score: 0 if this instance is assumed to receive messages in
             time; higher, up to `MAX_HEALTH_SCORE`, after signs that it does not.
         sequence: Sequence number of the last message.
@@ -59,7 +59,10 @@
         self.counters: Counter[str] = Counter()
 
     def advance_clock(self, now: float) -> None:
-        """Set the local time; ignore a lower one, so that no timer expires twice if the clock steps back."""
+        """Set the local time, but ignore a time lower than the present one.
+
+        So no timer expires twice if the clock steps back.
+        """
         self.now = max(self.now, now)
 
     def random(self) -> float:
@@ -80,12 +83,15 @@
 
     @property
     def health_multiplier(self) -> float:
-        """Factor of timeouts; an instance that seems to miss messages gives others more time (Lifeguard)."""
+        """Factor by which timeouts are multiplied (Lifeguard).
+
+        An instance that seems to miss messages gives other members more time to answer.
+        """
         return 1.0 + self.health_score
 
     @property
     def probe_timeout(self) -> float:
-        """Time (s) within which a direct probe must be answered before helpers are asked."""
+        """Time (s) after which helpers are asked to probe a member that has not answered a direct probe."""
         return PROBE_TIMEOUT_PERIODS * self.timing.period * self.health_multiplier
 
     # Messages
@@ -103,8 +109,8 @@
     ) -> None:
         """Queue a datagram for sending.
 
-        It carries this process's own record and `first_records`, and, as far as they fit, `records`, or
-        queued broadcasts if `records` is None.
+        The datagram carries this process's own record and `first_records`. As far as space permits, it also
+        carries `records`, or queued broadcasts if `records` is None.
         """
         self.sequence += 1
         outgoing = [self.local, *first_records]
@@ -143,10 +149,12 @@
 
 
 def records_to_refute(member: Member | None) -> tuple[MemberRecord, ...]:
-    """Return the record to send to a member whose state is not ALIVE here; empty for other members.
+    """Return the record of a member that this instance does not regard as ALIVE, to send to that member.
+
+    For other members, nothing is returned.
 
-    The member learns from the record that it is regarded as suspect or dead, and can refute that at once
-    (Lifeguard).
+    The member learns from the record that it is regarded as suspect or dead, and can refute the record
+    at once (Lifeguard).
     """
     if member is None or member.record.state is MemberState.ALIVE:
         return ()
--- a/stepsail/membership/effective_members.py
+++ b/stepsail/membership/effective_members.py
@@ -20,14 +20,14 @@
         self.present: tuple[int, ...] = ()
 
     def update(self, view: MembershipView) -> tuple[int, ...] | None:
-        """Return the numbers of the present instances, in order, if they have changed; otherwise None.
+        """Return the numbers of the present instances, in order, or None if they have not changed.
 
         A view is adopted only after a view with another present member has once been settled, and only if the
         present members are a majority both of the configured instances and of all known members. The minority
         side of a partition cannot know whether the other instances have died. If each side regarded itself as
         the whole fleet, each would use all of the servers' capacity, and would judge builds by its few
-        requests. So if more than half of the fleet has died, the remaining instances do not take over its
-        share until the settings change.
+        requests. So if more than half of the fleet has died, the remaining instances do not take over the
+        share of the dead instances until the settings change.
         """
         present = tuple(member.instance for member in view.members)
         if view.settled and len(present) > 1:
--- a/stepsail/membership/envelope.py
+++ b/stepsail/membership/envelope.py
@@ -1,4 +1,4 @@
-"""Wraps the other kinds of datagram on the membership port: gossip about builds, and policy messages.
+"""Wraps two kinds of datagram on the membership port: gossip about builds, and policy messages.
 
 An envelope consists of a magic number of four bytes that states the kind, a CRC-32 checksum computed with the
 cluster's id as its initial value, and the body. Datagrams of the membership protocol itself have no envelope.
--- a/stepsail/membership/failure_detector.py
+++ b/stepsail/membership/failure_detector.py
@@ -16,15 +16,15 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The regular probe of the current period.
+    """The regular probe that this instance sends to one member in the current period.
 
     Attributes:
         target: The probed process.
-        probe_id: Number of the probe.
-        sent_at: When the probe was sent (s).
+        probe_id: Number that identifies the probe.
+        sent_at: Local time in seconds at which the probe was sent.
         silent_helpers: Numbers of the helpers that were asked and have not sent NACK.
         helpers_asked: Whether helpers were asked to probe the target.
-        answered: Whether the target has answered, directly or through a helper.
+        answered: Whether the target has answered, either directly or through a helper.
         received_any: Whether any message from any member was received since the probe was sent.
     """
 
@@ -38,7 +38,7 @@
 
     @property
     def awaits_direct_answer(self) -> bool:
-        """Whether helpers are to be asked if the target does not answer in time."""
+        """Whether helpers are to be asked to probe the target if it does not answer this probe in time."""
         return not (self.helpers_asked or self.answered)
 
 
@@ -48,7 +48,7 @@
 
     Attributes:
         target: The probed process.
-        sent_at: When the missed probe was sent (s).
+        sent_at: Local time in seconds at which the missed probe was sent.
         retries_left: Number of periods in which the target is still to be probed again.
         broadcast: Whether a suspicion of the target is to be broadcast.
     """
@@ -78,7 +78,7 @@
         self.missed_probes: dict[int, MissedProbe] = {}
 
     def deadlines(self) -> list[float]:
-        """Return the time (s) at which helpers are to be asked, if any."""
+        """Return the time (s) at which helpers are to be asked to probe the target, if they are."""
         if self.probe and self.probe.awaits_direct_answer:
             return [self.probe.sent_at + self.broadcaster.probe_timeout]
         return []
@@ -147,7 +147,7 @@
         """Suspect all members if no message was received during `ISOLATION_PROBES` failed probes in a row.
 
         If all other members have crashed, the only survivor need not wait until it has probed each of them.
-        As this instance may instead be cut off itself, the suspicions are not broadcast.
+        The suspicions are not broadcast, because this instance may instead be cut off itself.
         """
         self.isolated_probes = 0 if probe.received_any else self.isolated_probes + 1
         if self.isolated_probes < ISOLATION_PROBES:
@@ -160,7 +160,7 @@
         """Suspect the target of a failed probe; in a large fleet, probe it again first.
 
         If no message was received during the probe, the suspicion is not broadcast: this instance may be
-        unable to receive messages while the others still receive the messages that it sends.
+        unable to receive messages while the other members still receive the messages that it sends.
         """
         retries = self.broadcaster.timing.probe_retries(self.table.present_count)
         if retries and not member.suspicion:
--- a/stepsail/membership/indirect_probe.py
+++ b/stepsail/membership/indirect_probe.py
@@ -19,7 +19,8 @@
         requester: Address of the instance that requested the probe.
         probe_id: The number that the requester gave the probe.
         target: Number of the probed instance.
-        deadline: When NACK is sent if the target has not answered (s).
+        deadline: Local time in seconds at which a NACK is sent to the requester if the target has not
+            answered.
     """
 
     requester: Address
@@ -32,7 +33,7 @@
     """Runs the indirect probes that other instances have requested.
 
     Attributes:
-        probes: The probes that are not answered yet, by the number that this instance gave them.
+        probes: The probes that are not answered yet, by the number that this instance gave each probe.
     """
 
     def __init__(self, broadcaster: Broadcaster, table: MemberTable) -> None:
@@ -52,7 +53,8 @@
         """Probe the requested target, unless it is this instance or too many probes are unanswered."""
         broadcaster = self.broadcaster
         if len(self.probes) >= MAX_INDIRECT_PROBES or request.target == broadcaster.local.instance:
-            broadcaster.counters["errands refused"] += 1  # rejected requests for indirect probes
+            # This counts the rejected requests for indirect probes.
+            broadcaster.counters["errands refused"] += 1
             return
         probe_id = broadcaster.next_probe_id()
         deadline = broadcaster.now + broadcaster.probe_timeout * HELPER_TIMEOUT_FACTOR
@@ -74,7 +76,7 @@
             self.broadcaster.send(probe.requester, MessageKind.ACK, probe.probe_id, probe.target)
 
     def expire(self) -> None:
-        """Send NACK to the requesters of probes that the target has not answered in time."""
+        """Send a NACK to the requester of each probe that the target has not answered in time."""
         now = self.broadcaster.now
         expired = [(probe_id, probe) for probe_id, probe in self.probes.items() if now >= probe.deadline]
         for probe_id, probe in expired:
--- a/stepsail/membership/local_member.py
+++ b/stepsail/membership/local_member.py
@@ -19,7 +19,8 @@
     Attributes:
         other: Record of the later process.
         probe_id: Number of the probes that the later process must answer.
-        deadline: When the later process is assumed to have ended if it has not answered (s).
+        deadline: Local time in seconds at which the later process is assumed to have ended if it has not
+            answered.
     """
 
     other: MemberRecord
@@ -34,7 +35,8 @@
         joined: Whether any other member has answered a probe of this process.
         displaced: Whether a later process with this instance's number has answered a probe. This process then
             no longer takes part in the protocol.
-        conflict: The reported later process with this instance's number; None if there is none to verify.
+        conflict: The reported later process with this instance's number; None if there is no such process to
+            verify.
     """
 
     def __init__(self, broadcaster: Broadcaster, table: MemberTable) -> None:
@@ -48,19 +50,20 @@
         """Handle a record with this instance's number from another member.
 
         A wrong record of this process is refuted. A record of a later process is verified by probing that
-        process, unless a reset of the local clock explains it.
+        process, unless a reset of the local clock explains the record.
         """
         broadcaster = self.broadcaster
         local = broadcaster.local
         if claim.start_time == local.start_time:
             self._refute_if_needed(claim)
         elif claim.start_time < local.start_time:
-            if claim.state in PRESENT_STATES:  # the member does not know yet that this process has started
+            # The member that sent the record does not know yet that this process has started.
+            if claim.state in PRESENT_STATES:
                 broadcaster.queue.add(local, self.table.transmissions)
         elif not self.joined or claim.state not in PRESENT_STATES or claim.address == local.address:
             # The clock was set back before this process started, so that an earlier process has the higher
-            # start time. This is assumed if this process is still joining, or if the other process has ended
-            # or had the same address. This process then takes a start time above the other's.
+            # start time. This reset is assumed if this process is still joining, or if the other process has
+            # ended or had the same address. This process then takes a start time above the other process's.
             self._announce(claim.start_time + 1, 0, "an earlier process had a later start time")
         elif self.conflict is None or claim.start_time > self.conflict.other.start_time:
             self.conflict = NumberConflict(claim, broadcaster.next_probe_id(), self._conflict_deadline())
@@ -69,7 +72,8 @@
     def _refute_if_needed(self, claim: MemberRecord) -> None:
         """Raise the incarnation if another member's record of this process must be refuted.
 
-        The record must be refuted if its incarnation is higher, or equal and its state is not ALIVE.
+        The record must be refuted if its incarnation is higher than this process's, or if its incarnation
+        is equal and its state is not ALIVE.
         """
         local = self.broadcaster.local
         is_newer = claim.incarnation > local.incarnation
@@ -97,12 +101,12 @@
         return self.broadcaster.now + CONFLICT_PERIODS * self.broadcaster.timing.period
 
     def extend_conflict_deadline(self) -> None:
-        """Restart the deadline, because a paused process cannot receive the other process's answer."""
+        """Restart the conflict deadline, because a paused process cannot receive an answer to its probes."""
         if self.conflict:
             self.conflict = replace(self.conflict, deadline=self._conflict_deadline())
 
     def probe_conflicting_process(self) -> None:
-        """Probe the reported later process; if it has not answered by the deadline, keep the number."""
+        """Probe the reported later process; if it misses the deadline, keep this instance's number."""
         if self.conflict is None:
             return
         other = self.conflict.other
@@ -117,7 +121,8 @@
         broadcaster = self.broadcaster
         local = broadcaster.local
         if sender.start_time == local.start_time:
-            broadcaster.counters["own words"] += 1  # a datagram of this process that came back to it
+            # This counts the datagrams of this process that were delivered to itself.
+            broadcaster.counters["own words"] += 1
         elif sender.start_time < local.start_time:
             broadcaster.counters["earlier"] += 1
             self._acknowledge(sender, message)
--- a/stepsail/membership/member.py
+++ b/stepsail/membership/member.py
@@ -19,9 +19,9 @@
     def expires_at(self, timing: Timing, fleet_size: int, last_ack: float) -> float:
         """Return the time (s) at which the suspect is declared dead.
 
-        Each report by another instance shortens the timeout (Lifeguard). The timeout starts anew with each
-        ACK that the suspect sends to this instance: the suspect's refutation may be lost although its ACKs
-        arrive.
+        Each report of the suspicion by another instance shortens the timeout (Lifeguard). The timeout
+        starts anew with each ACK that the suspect sends to this instance, because the suspect's refutation
+        may be lost although its ACKs arrive.
         """
         minimum, maximum = timing.suspicion_timeouts(fleet_size)
         # Neither the first reporter nor the suspect itself can confirm the suspicion.
@@ -42,11 +42,12 @@
 
     Attributes:
         record: The record of the member with the highest precedence that this instance knows.
-        state_since: When the member entered its current state.
-        present_since: Since when the member has been alive or suspect without interruption.
+        state_since: Local time at which the member entered its current state.
+        present_since: Local time since which the member has been alive or suspect without interruption.
         suspicion: The suspicion of the member; None if the member is not suspect.
-        last_ack: When this instance last received an ACK that the member sent for itself.
-        highest_sequence: Highest sequence number received from the member's process; -1 if none was.
+        last_ack: Local time at which this instance last received an ACK that the member sent for itself.
+        highest_sequence: Highest sequence number received from the member's process; -1 if no message
+            was received from this process.
         received_bitmap: Bit n is set if the message numbered `highest_sequence` - n was received.
     """
 
@@ -71,8 +72,8 @@
     def accept_sequence(self, sequence: int) -> bool:
         """Add a message's sequence number to the replay window, and return whether to handle the message.
 
-        False for a duplicate or a replay: a message that was received before, or one that is too old for the
-        window to show whether it was received before.
+        The result is False for a duplicate or a replay: a message that was received before, or a message
+        that is too old for the window to show whether it was received before.
         """
         ahead = sequence - self.highest_sequence
         if ahead > 0:
--- a/stepsail/membership/member_table.py
+++ b/stepsail/membership/member_table.py
@@ -18,7 +18,9 @@
 from stepsail.membership.records import PRESENT_STATES, MemberRecord, MemberState
 from stepsail.membership.view import MemberChange
 
-MAX_UNREAD_CHANGES = 10_000  # if there are more, the oldest are dropped and counted
+# Largest number of member changes that wait to be read. If there are more, the oldest changes are dropped and
+# counted.
+MAX_UNREAD_CHANGES = 10_000
 # Seconds after which a member in the given state is removed from the table.
 RETENTION = {MemberState.DEAD: DEAD_RETENTION, MemberState.LEFT: LEFT_RETENTION}
 
@@ -30,10 +32,11 @@
         members: All other members, by instance number.
         suspects: The members that are suspect, by instance number.
         present_count: Number of instances that are alive or suspect, including this one.
-        probe_order: Numbers of the instances still to be probed in the current round; the next one is last.
-        changes: Changes that the caller has not taken yet.
-        changed_at: When the table last changed (s).
-        revision: Increases with each change.
+        probe_order: Numbers of the instances still to be probed in the current round; the instance to
+            probe next is last.
+        changes: Changes of members that the caller has not taken yet.
+        changed_at: Local time in seconds at which the table last changed.
+        revision: Number that increases with each change of the table.
     """
 
     def __init__(self, broadcaster: Broadcaster) -> None:
@@ -91,7 +94,7 @@
 
         Args:
             record: The received record.
-            reporter: Number of the instance that sent it.
+            reporter: Number of the instance that sent the record.
             trusted: Whether a death that the reporter reports may be accepted without verification.
         """
         member = self.members.get(record.instance)
@@ -120,7 +123,8 @@
 
         A death is accepted without verification only if the reporter is trusted, which requires that it has
         been present for the shortest suspicion timeout, and if the member has not answered this instance for
-        as long. Otherwise, after a partition heals, each side would accept the other side's outdated reports.
+        the same time. Otherwise, after a partition heals, each side would accept the other side's outdated
+        reports.
         """
         if record.state is not MemberState.DEAD or not member.present:
             return False
@@ -143,7 +147,8 @@
 
     def _add(self, record: MemberRecord, reporter: int) -> None:
         if record.state not in PRESENT_STATES:
-            return  # the death or departure of an unknown member changes nothing
+            # The death or departure of an unknown member changes nothing.
+            return
         if len(self.members) >= MAX_MEMBERS:
             self.broadcaster.counters["no room"] += 1
             return
@@ -185,7 +190,7 @@
     def _confirm(self, member: Member, reporter: int, broadcast: bool = True) -> None:
         """Add an independent report to a suspicion, and broadcast the suspicion again.
 
-        Reports beyond `MAX_CONFIRMATIONS` are ignored: they would not shorten the timeout any further.
+        Reports beyond `MAX_CONFIRMATIONS` are ignored, because they would not shorten the timeout further.
         """
         assert member.suspicion
         reporters = member.suspicion.reporters
@@ -201,7 +206,7 @@
             member.suspicion = Suspicion(self.broadcaster.now, member.suspicion.reporters)
 
     def expire_suspicions(self) -> None:
-        """Declare the members dead whose suspicion timeout has expired."""
+        """Declare dead the members whose suspicion timeout has expired."""
         broadcaster = self.broadcaster
         for member in list(self.suspects.values()):
             assert member.suspicion
@@ -215,7 +220,8 @@
     def _receives_answers(self) -> bool:
         """Return whether any member has lately answered a probe of this instance.
 
-        Otherwise this instance may itself be isolated, and does not broadcast that others are dead.
+        If no member has answered, this instance may itself be isolated. It then does not broadcast that other
+        members are dead.
         """
         now = self.broadcaster.now
         return any(now - member.last_ack < self.min_suspicion for member in self.members.values())
@@ -274,7 +280,7 @@
         return [self.broadcaster.local, *(member.record for member in self.members.values())]
 
     def digests(self) -> tuple[int, ...]:
-        """Return one digest per bucket, of the present processes in it and their incarnations.
+        """Return one digest per bucket of the present processes in that bucket and their incarnations.
 
         Whether a process is suspect does not change the digest.
         """
--- a/stepsail/membership/messages.py
+++ b/stepsail/membership/messages.py
@@ -18,9 +18,12 @@
 
 VERSION = 1
 CHECKSUM_BYTES = 4
-HEADER_BYTES = 70  # upper bound of the size of a datagram without its records and digests
-DIGEST_BYTES = 5  # upper bound of the size of one encoded digest
-RECORD_BYTES = 45  # upper bound of the size of an encoded record without its zone and host
+# Upper bound in bytes of the size of a datagram without its records and digests.
+HEADER_BYTES = 70
+# Upper bound in bytes of the size of one encoded digest.
+DIGEST_BYTES = 5
+# Upper bound in bytes of the size of an encoded record without its zone and host.
+RECORD_BYTES = 45
 MAX_RECORDS = MAX_DATAGRAM_BYTES // 10
 
 
@@ -31,11 +34,13 @@
     """
 
     PING = 0
-    ACK = 1  # answers PING; a helper sends it to the requester when the target has answered the helper
-    PING_REQUEST = 2  # asks a helper to probe the target
-    NACK = 3  # a helper tells the requester that the target has not answered the helper in time (Lifeguard)
-    DIGESTS = 4  # the digests of all buckets of the sender's member table
-    RECORDS = 5  # the sender's records in the buckets whose digests differ
+    # ACK answers PING. A helper also sends ACK to the requester when the target has answered the helper.
+    ACK = 1
+    PING_REQUEST = 2  # asks a helper to probe a target for the sender
+    # With NACK, a helper tells the requester that the target has not answered the helper in time (Lifeguard).
+    NACK = 3
+    DIGESTS = 4  # contains the digests of all buckets of the sender's member table
+    RECORDS = 5  # contains the sender's records in the buckets whose digests differ
 
 
 class InvalidMessageError(Exception):
@@ -53,7 +58,8 @@
         kind: The kind of message.
         sequence: Sequence number; the sender raises it by one with each message that it sends.
         probe_id: Number of the probe that the message belongs to, as chosen by the instance that sent the
-            PING or PING_REQUEST. In DIGESTS, 0 for a request for comparison and 1 for the response.
+            PING or PING_REQUEST. In DIGESTS, 0 for a request to compare member tables and 1 for the
+            response.
         target: Number of the probed instance. In DIGESTS and RECORDS, the receiver's number. In a PING to a
             seed, whose number the sender does not know, the sender's own number.
         target_address: In PING_REQUEST, the target's address; otherwise None.
--- a/stepsail/membership/parameters.py
+++ b/stepsail/membership/parameters.py
@@ -11,25 +11,36 @@
 from typing import NamedTuple
 
 # Probes
-PROBE_PERIOD = 0.5  # s between two regular probes by an instance
-PROBE_TIMEOUT_PERIODS = 0.2  # periods without an ACK after which helpers are asked to probe the target
-HELPER_TIMEOUT_FACTOR = 1.5  # probe timeouts without an ACK after which a helper answers NACK
-PERIOD_JITTER = 0.1  # largest random change of a period's length, as a share of the period
-PROBE_HELPERS = 3  # members asked to probe a target that has not answered (SWIM's k)
-# Indirect probes that an instance runs for others at the same time. It rejects further requests; the
-# requesters have asked other helpers as well.
+# Seconds between two regular probes by an instance.
+PROBE_PERIOD = 0.5
+# Probe periods without an ACK after which an instance asks helpers to probe the target.
+PROBE_TIMEOUT_PERIODS = 0.2
+# Multiple of the probe timeout after which a helper that has received no ACK from the target answers NACK.
+HELPER_TIMEOUT_FACTOR = 1.5
+# Largest random change of a probe period's length, as a share of the period.
+PERIOD_JITTER = 0.1
+# Number of members that are asked to probe a target that has not answered (SWIM's k).
+PROBE_HELPERS = 3
+# Largest number of indirect probes that an instance runs for others at the same time. The instance rejects
+# further requests for probes; the requesters have asked other helpers as well.
 MAX_INDIRECT_PROBES = 64
-# Lifeguard's bound of the local health score. A higher bound delays failure detection if most members died.
+# Lifeguard's upper bound of the local health score. If most members died, a higher bound would delay failure
+# detection.
 MAX_HEALTH_SCORE = 2
-# Failed probes in a row, during which no message at all arrived, after which an instance suspects all others.
+# Number of failed probes in a row, during which no message at all arrived, after which an instance suspects
+# all other members.
 ISOLATION_PROBES = 4
 
 # Suspicion
-# Shortest suspicion timeout in periods; it is multiplied by log10 of the fleet size where that exceeds 1.
+# Shortest suspicion timeout in probe periods. The timeout is multiplied by log10 of the fleet size if that
+# logarithm exceeds 1.
 MIN_SUSPICION_PERIODS = 10
-MAX_SUSPICION_FACTOR = 3.0  # factor of the shortest timeout for a suspicion without confirmations
-MAX_CONFIRMATIONS = 3  # confirmations that reduce a suspicion's timeout to the shortest one (Lifeguard's K)
-PROBED_SUSPECTS = 4  # suspects probed per period, in addition to the regular target
+# Ratio of the timeout of a suspicion without confirmations to the shortest suspicion timeout.
+MAX_SUSPICION_FACTOR = 3.0
+# Number of confirmations that reduce a suspicion's timeout to the shortest timeout (Lifeguard's K).
+MAX_CONFIRMATIONS = 3
+# Largest number of suspects probed per probe period, in addition to the regular target.
+PROBED_SUSPECTS = 4
 # In a large fleet with message loss, more probes fail than broadcasts can report. So a member that did not
 # answer a probe is probed once more in each of the next RETRY_FACTOR * log2(fleet size / SMALL_FLEET) periods
 # before it is reported as suspect.
@@ -37,38 +48,49 @@
 SMALL_FLEET = 16
 
 # Dissemination
-RETRANSMIT_FACTOR = 4  # a broadcast is sent this many times log2 of the fleet size (SWIM's lambda log n)
+# The number of times that a broadcast is sent is this factor times log2 of the fleet size (SWIM's lambda
+# log n).
+RETRANSMIT_FACTOR = 4
 MAX_DATAGRAM_BYTES = 1200
-MAX_MEMBERS = 4096  # other members in the table
-ANTI_ENTROPY_PERIODS = 10  # periods between two comparisons of the member table with another member's
+# Largest number of other members in the member table.
+MAX_MEMBERS = 4096
+# Probe periods between two comparisons of the member table with that of another member.
+ANTI_ENTROPY_PERIODS = 10
 DIGEST_BUCKETS = 64
-MAX_RECORD_DATAGRAMS = 4  # RECORDS messages that an instance sends per period, to all members together
+# Largest number of RECORDS messages that an instance sends per probe period, to all members together.
+MAX_RECORD_DATAGRAMS = 4
 
 # Rejoining
-DEAD_PROBE_PERIODS = 4  # periods between two probes of dead members, which detect that a partition has healed
-SEED_PROBE_PERIODS = 2  # periods between two probes of seeds while no other member is known
-DEAD_RETENTION = 3600.0  # s after which a dead member is removed from the table
+# Probe periods between two probes of dead members. These probes detect that a partition has healed.
+DEAD_PROBE_PERIODS = 4
+# Probe periods between two probes of seeds while no other member is known.
+SEED_PROBE_PERIODS = 2
+# Seconds after which a dead member is removed from the member table.
+DEAD_RETENTION = 3600.0
 # Seconds after which a member that left is removed from the table. Until then, delayed messages cannot add
 # the member again.
 LEFT_RETENTION = 600.0
 
 # The local process
-# The process is assumed to have been paused if its timer expires more than this many periods late.
+# The process is assumed to have been paused if its timer expires more than this many probe periods late.
 PAUSE_PERIODS = 3.0
-SETTLED_PERIODS = 6  # periods without suspects and changes after which the view is settled
-# Periods within which a reported later process with this instance's number must answer a probe. Otherwise
-# this instance assumes that the later process has ended.
+# Probe periods without suspects and changes after which the membership view is settled.
+SETTLED_PERIODS = 6
+# Probe periods within which a reported later process with this instance's number must answer a probe. If it
+# does not, this instance assumes that the later process has ended.
 CONFLICT_PERIODS = 6
-REPLAY_WINDOW = 64  # latest sequence numbers of each sender among which duplicates are recognized
-TOLERATED_PAUSE = 2.0  # s for which a process may be paused without being declared dead
+# Number of the latest sequence numbers of each sender among which duplicates are recognized.
+REPLAY_WINDOW = 64
+# Seconds for which a process may be paused without being declared dead.
+TOLERATED_PAUSE = 2.0
 
 
 class SuspicionTimeouts(NamedTuple):
-    """The seconds from a suspicion until the member is declared dead.
+    """The seconds from the start of a suspicion until the member is declared dead.
 
     Attributes:
-        minimum: With the maximum number of confirmations.
-        maximum: Without confirmations.
+        minimum: Timeout of a suspicion with the maximum number of confirmations.
+        maximum: Timeout of a suspicion without confirmations.
     """
 
     minimum: float
@@ -111,9 +133,9 @@
 
     @classmethod
     def of(cls, timing: Timing, fleet_size: int) -> DetectionBounds:
-        """Return the bounds for a fleet of this size."""
+        """Return the detection bounds for a fleet of this size."""
         suspicion = timing.suspicion_timeouts(fleet_size)
-        # Three times the expected number of gossip rounds.
+        # A broadcast is given three times the expected number of gossip rounds.
         dissemination = timing.period * 3 * ceil(log2(fleet_size + 1))
         # The probability that no instance probes a given member within 12 periods is e^-12.
         detection = timing.period * (12 + timing.probe_retries(fleet_size))
--- a/stepsail/membership/protocol.py
+++ b/stepsail/membership/protocol.py
@@ -45,7 +45,7 @@
         address: The address at which this instance receives datagrams.
         seeds: Addresses at which other members may be reached.
         random_seed: Seed of the pseudo-random numbers.
-        now: The local time (s).
+        now: The local time in seconds.
         timing: The protocol's timeouts.
         cluster_id: Id of the cluster; datagrams of other clusters are dropped.
 
@@ -57,8 +57,8 @@
         indirect_prober: Probes members on behalf of other instances.
         anti_entropy: Compares member tables with other members.
         started_at: The local time at which this object was made (s).
-        period_ends_at: When the current period ends and the next one begins (s).
-        next_timeout: When `tick` must be called next (s).
+        period_ends_at: Local time in seconds at which the current period ends and the next period begins.
+        next_timeout: Local time in seconds at which `tick` must be called next.
         period_count: Number of periods begun so far.
         leaving: Whether this instance has left the membership.
     """
@@ -99,7 +99,7 @@
 
     @property
     def health_score(self) -> int:
-        """Lifeguard's local health score; 0 is the best."""
+        """Lifeguard's local health score; 0 is the best score."""
         return self.broadcaster.health_score
 
     @property
@@ -115,7 +115,7 @@
     # Time and datagrams
 
     def tick(self, now: float) -> None:
-        """Perform the actions whose time has come."""
+        """Perform the actions of the protocol that are due at this time."""
         broadcaster = self.broadcaster
         was_paused = now - self.next_timeout > PAUSE_PERIODS * broadcaster.timing.period
         broadcaster.advance_clock(now)
@@ -154,11 +154,12 @@
         self._receive_from_member(member, sender, message)
 
     def _is_current(self, member: Member, sender: MemberRecord, message: Message) -> bool:
-        """Return whether the message is new and not from an earlier process than the known one."""
+        """Return whether the message is new and not from an earlier process of the member."""
         broadcaster = self.broadcaster
         if sender.start_time < member.record.start_time:
             broadcaster.counters["earlier"] += 1
-            if message.kind is MessageKind.PING:  # the ACK informs the earlier process of the later one
+            # The ACK informs the earlier process that a later process of its instance has started.
+            if message.kind is MessageKind.PING:
                 instance = broadcaster.local.instance
                 records = (member.record,)
                 broadcaster.send(
@@ -181,10 +182,11 @@
         self._receive_record(sender, sender.instance, trusted)
         member = self.table.members.get(sender.instance)
         if member is None:
-            return  # the table is full, or the sender is an unknown member that has left
+            # Either the member table is full, or the sender is an unknown member that has left.
+            return
         if member.highest_sequence < 0:
             member.accept_sequence(message.sequence)
-        # Deaths in RECORDS may be outdated, so they are verified.
+        # The deaths reported in RECORDS messages may be outdated, so they are verified.
         trusts_deaths = trusted and message.kind is not MessageKind.RECORDS
         for record in message.records[1:]:
             self._receive_record(record, sender.instance, trusts_deaths)
@@ -222,7 +224,7 @@
             self.anti_entropy.schedule_now()
 
     def leave(self, now: float) -> None:
-        """Announce to some members that this instance leaves; it sends no datagrams after these."""
+        """Announce to some members that this instance leaves; it sends no datagrams afterwards."""
         broadcaster = self.broadcaster
         broadcaster.advance_clock(now)
         if self.displaced or self.leaving:
@@ -233,7 +235,7 @@
             broadcaster.send(member.record.address, MessageKind.PING, 0, member.record.instance)
 
     def take_datagrams(self) -> list[tuple[Address, bytes]]:
-        """Return the destinations and datagrams to send, and clear them."""
+        """Return the datagrams to send with their destinations, and clear the queue of datagrams."""
         datagrams = self.broadcaster.datagrams
         self.broadcaster.datagrams = []
         return datagrams
@@ -249,7 +251,8 @@
 
         Members whose answers are overdue are not suspected, because this process could not receive answers.
         """
-        self.broadcaster.counters["stood still"] += 1  # pauses of this process and forward clock steps
+        # This counts the pauses of this process and the forward clock steps.
+        self.broadcaster.counters["stood still"] += 1
         self.broadcaster.change_health(1)
         self.detector.cancel_all()
         self.indirect_prober.cancel_all()
@@ -281,13 +284,13 @@
     # The view
 
     def take_changes(self) -> list[MemberChange]:
-        """Return the changes since the last call, the oldest first."""
+        """Return the changes of members since the last call, the oldest first."""
         changes = list(self.table.changes)
         self.table.changes.clear()
         return changes
 
     def view(self) -> MembershipView:
-        """Return the current view; the same object is returned until the view changes."""
+        """Return the current membership view; the same object is returned until the view changes."""
         settled = self._is_settled()
         table_changed = self._view_revision != self.table.revision
         if self._view is None or table_changed or self._view.settled != settled:
--- a/stepsail/membership/records.py
+++ b/stepsail/membership/records.py
@@ -22,7 +22,8 @@
 class MemberState(IntEnum):
     """The state that a record gives a member.
 
-    Of two records with the same start time and incarnation, the one with the higher state takes precedence.
+    Of two records with the same start time and incarnation, the record with the higher state takes
+    precedence.
     """
 
     ALIVE = 0
@@ -44,7 +45,9 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Describes one process, as messages carry it. The order of the fields is part of the wire format.
+    """Describes one process of an instance, in the form that messages carry.
+
+    The order of the fields is part of the wire format.
 
     Attributes:
         instance: The instance's number.
@@ -79,9 +82,10 @@
     def precedence(self) -> tuple[int, int, int]:
         """The key that orders the records of one instance; the record with the highest key takes precedence.
 
-        The start time is compared first, so that a record of an earlier process cannot replace one of a later
-        process. The incarnation and the state follow, as in SWIM. Unlike in SWIM, DEAD is not final: members
-        that were declared dead because of a network partition or a process pause must be able to return.
+        The start time is compared first, so that a record of an earlier process cannot replace a record of
+        a later process. The incarnation and the state follow, as in SWIM. Unlike in SWIM, DEAD is not final:
+        members that were declared dead because of a network partition or a process pause must be able to
+        return.
         """
         return self.start_time, self.incarnation, self.state
 
--- a/stepsail/membership/view.py
+++ b/stepsail/membership/view.py
@@ -15,11 +15,11 @@
 
     Attributes:
         instance: The member's instance number.
-        start_time: When its process started (ms, on the member's own clock).
+        start_time: When the member's process started, in milliseconds on the member's own clock.
         zone: The member's zone.
-        address: The address at which it receives datagrams.
-        state: Its state, ALIVE or SUSPECT.
-        state_since: When it entered the state (s, on the local clock).
+        address: The address at which the member receives datagrams.
+        state: The member's state, ALIVE or SUSPECT.
+        state_since: When the member entered the state, in seconds on the local clock.
     """
 
     instance: int
@@ -40,12 +40,12 @@
     """The membership as one instance sees it.
 
     Attributes:
-        version: Increases with each change of the view.
+        version: Number that increases with each change of the view.
         members: Members that are alive or suspect, including this instance, in order of instance number.
         dead: Instance numbers of the members that were declared dead and are still probed.
         settled: Whether no member is suspect and the membership has not changed in the last
-            `SETTLED_PERIODS`.
-        minority: Whether no more members are present than dead.
+            `SETTLED_PERIODS` probe periods.
+        minority: Whether the present members are no more than the dead members.
         displaced: Whether a later process has this instance's number. The view is then no longer updated.
     """
 
@@ -68,9 +68,9 @@
 
     Attributes:
         instance: The member's instance number.
-        start_time: When its process started (ms).
-        previous_state: The state before the change; None if the member was unknown.
-        state: The state after the change.
+        start_time: When the member's process started, in milliseconds.
+        previous_state: The member's state before the change; None if the member was unknown.
+        state: The member's state after the change.
         reason: Why the member changed, for readers of the log.
     """
 
--- a/stepsail/proxy/attempt_outcome.py
+++ b/stepsail/proxy/attempt_outcome.py
@@ -1,8 +1,11 @@
-"""Derives an attempt's outcome from how its exchange ended, and so whether it may have run. No I/O, no clock.
+"""Derives an attempt's outcome, and so whether the attempt may have run, from how its exchange ended.
+
+The module does no I/O and reads no clock.
 
 The outcome depends on the bytes that left this process. If no byte of the request was written, the attempt
-never ran. If at least one byte was written and no complete response was read, it may have run, whatever
-closed the connection. A server's statement that it did not run the request is trusted.
+never ran. If at least one byte was written and no complete response was read, the attempt may have
+run, regardless of what closed the connection. A server's statement that it did not run the request is
+trusted.
 """
 
 from __future__ import annotations
@@ -11,9 +14,11 @@
 
 from stepsail.decisions.interface import AttemptOutcome
 
-NOT_RUN_HEADER = b"stepsail-not-run"  # on a 503 response: the server has not begun the request
+# On a 503 response, this header states that the server has not begun to run the request.
+NOT_RUN_HEADER = b"stepsail-not-run"
 NOT_RUN_STATUS = 503
-FIRST_SERVER_ERROR = 500  # lowest status that reports an error of the server
+# Lowest HTTP status that reports an error of the server.
+FIRST_SERVER_ERROR = 500
 
 
 class ExchangeEnd(Enum):
--- a/stepsail/proxy/endpoint_cache.py
+++ b/stepsail/proxy/endpoint_cache.py
@@ -15,9 +15,12 @@
 from stepsail.proxy.control_messages import ENDPOINT_LIST
 from stepsail.proxy.decision_host import Logger
 
-WRITE_INTERVAL = 0.5  # s between two writes, at least
-FINAL_WRITE_TIMEOUT = 2.0  # s for which a stopping process waits for a write in progress
-FINAL_WRITE_CHECK_INTERVAL = 0.01  # s between two checks whether that write has finished
+# Shortest time in seconds between two writes of the endpoint list to disk.
+WRITE_INTERVAL = 0.5
+# Longest time in seconds that a stopping process waits for a write in progress.
+FINAL_WRITE_TIMEOUT = 2.0
+# Seconds between two checks, by a stopping process, whether the write in progress has finished.
+FINAL_WRITE_CHECK_INTERVAL = 0.01
 
 
 class EndpointCache:
@@ -34,7 +37,7 @@
         self.is_writing = False
 
     def schedule_write(self) -> None:
-        """Write the list after `WRITE_INTERVAL`; further calls until then have no effect."""
+        """Write the endpoint list after `WRITE_INTERVAL`; further calls until then have no effect."""
         if self.file and self.next_write_at <= self.loop.now():
             self.next_write_at = self.loop.now() + WRITE_INTERVAL
             self.loop.call_later(WRITE_INTERVAL, partial(self._write_in_background, self.file))
@@ -42,8 +45,8 @@
     def _write_in_background(self, file: Path) -> None:
         """Write the file outside the loop, so that a slow disk does not block any task.
 
-        When the file was written in the loop, renaming it on a busy disk blocked all tasks, and clients
-        received their responses too late.
+        Previously, the file was written in the loop. Renaming the file on a busy disk then blocked all tasks,
+        and clients received their responses too late.
         """
         if self.is_writing:
             self.loop.call_later(WRITE_INTERVAL, partial(self._write_in_background, file))
@@ -63,9 +66,9 @@
         self._log_error(error)
 
     def write_now(self) -> None:
-        """Write the list before this process stops, once a write in progress has finished.
+        """Write the endpoint list before this process stops, once a write in progress has finished.
 
-        If that takes longer than `FINAL_WRITE_TIMEOUT`, the list is not written.
+        If the write in progress takes longer than `FINAL_WRITE_TIMEOUT`, the list is not written.
         """
         if self.file is None:
             return
@@ -85,9 +88,11 @@
 
 
 def _replace_file(file: Path, data: bytes) -> OSError | None:
-    """Write a new file and rename it over the old one; return the error if that fails, and keep the old file.
+    """Replace a file by writing a new one and renaming it over the old one.
 
-    No fsync is needed: the checksum reveals a torn file.
+    If that fails, the old file is kept and the error is returned.
+
+    No fsync is needed: the checksum in the file reveals a partly written file.
     """
     new_file = file.with_name(file.name + ".new")
     try:
@@ -99,7 +104,7 @@
 
 
 def read_cache(file: Path | None) -> dict[str, Any] | None:
-    """Return the list in a cache file; None if the file is missing, torn or invalid."""
+    """Return the endpoint list in a cache file, or None if the file is missing, torn or invalid."""
     if file is None:
         return None
     try:
--- a/stepsail/proxy/endpoint_discovery.py
+++ b/stepsail/proxy/endpoint_discovery.py
@@ -16,13 +16,19 @@
 from stepsail.settings import InstanceSettings
 from stepsail.trail.entries import EntryKind
 
-LONG_POLL_WAIT = 5.0  # s for which discovery may delay its response until something changes
-LONG_POLL_SLACK = 2.0  # s by which a call's timeout exceeds `LONG_POLL_WAIT`
-POLL_TIMEOUT = 2.0  # s for a single poll of the complete list
-JITTER_SALT = "roster"  # another value would change the delays drawn for a given seed
-CACHED_START = "kept"  # replaces the name of each server's start in a cached list
+# Longest time in seconds that discovery may delay its response to wait for a change of the endpoint list.
+LONG_POLL_WAIT = 5.0
+# Seconds by which the timeout of a call to discovery exceeds the time that discovery may delay its response.
+LONG_POLL_SLACK = 2.0
+# Timeout in seconds of a single request for the complete endpoint list.
+POLL_TIMEOUT = 2.0
+# Another value would change the random retry delays that are drawn for a given seed.
+JITTER_SALT = "roster"
+# Name used for each server's start in a cached endpoint list, instead of the name in that list.
+CACHED_START = "kept"
 
-Endpoint = dict[str, Any]  # one entry of a list, as defined by `control_messages.ENDPOINT`
+# One entry of an endpoint list, as defined by `control_messages.ENDPOINT`.
+Endpoint = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,12 +45,13 @@
 
 
 class EndpointDiscovery:
-    """Passes each endpoint list to the router, complete or as changes, in order.
+    """Passes each endpoint list, complete or as changes, to the router in order of arrival.
 
     Attributes:
-        sequence: Sequence number of the latest list; 0 before the first list and after a cached one.
-        endpoints: The current list, by address.
-        has_endpoints: Set once the list has at least one entry.
+        sequence: Sequence number of the latest endpoint list; 0 before the first list and after a
+            cached list.
+        endpoints: Entries of the current endpoint list, by server address.
+        has_endpoints: Event that is set once the endpoint list has had at least one entry.
     """
 
     def __init__(
@@ -72,7 +79,7 @@
     # -- calls to discovery ------------------------------------------------------------------------------
 
     def watch(self) -> None:
-        """Start to receive changes; has no effect while a watch is running."""
+        """Start to receive changes of the endpoint list; has no effect while a watch is running."""
         if self.watch_task is None or self.watch_task.done:
             self.watch_task = self.loop.spawn(self._watch, name="watch endpoints")
 
@@ -100,7 +107,7 @@
             client.close()
 
     def poll(self) -> None:
-        """Request the complete list once."""
+        """Request the complete endpoint list once."""
         self.loop.spawn(self._poll, name="poll endpoints")
 
     def _poll(self) -> None:
@@ -125,7 +132,10 @@
     # -- events for the router ---------------------------------------------------------------------------
 
     def apply_list(self, endpoint_list: dict[str, Any], is_cached: bool) -> None:
-        """Pass all entries of a list to the router, then report the list, under one reading of the clock."""
+        """Pass all entries of an endpoint list to the router, then report that the list was received.
+
+        All these calls to the router see the same reading of the clock.
+        """
         is_complete = endpoint_list["whole"]
         entries = endpoint_list["servers"]
         if not is_complete and endpoint_list["seq"] <= self.sequence:
@@ -164,7 +174,9 @@
         self.host.router.endpoint_list_received(is_complete, is_cached)
 
     def _started_at(self, entry: Endpoint, is_cached: bool) -> float:
-        """Return when the server started, on this instance's clock; computed when a start is first seen.
+        """Return when the server started, on this instance's clock.
+
+        The time is computed only when this start of the server is first seen.
 
         The ages in a cached list are out of date. Its servers count as started now, so that a server that is
         warming up is not treated as warm.
@@ -184,12 +196,12 @@
         return [entry for entry in self.endpoints.values() if entry["state"] != ENDPOINT_GONE]
 
     def write_cache(self) -> None:
-        """Write the list to disk before this process stops."""
+        """Write the endpoint list to disk before this process stops."""
         if self.endpoints:
             self.cache.write_now()
 
     def load_cache(self) -> bool:
-        """Pass the cached list to the router; return False if there is no valid one."""
+        """Pass the cached endpoint list to the router; return False if there is no valid cached list."""
         endpoint_list = read_cache(self.settings.endpoint_cache_file)
         if endpoint_list is None:
             return False
--- a/stepsail/proxy/health_check.py
+++ b/stepsail/proxy/health_check.py
@@ -13,13 +13,15 @@
 from stepsail.proxy.upstream_protocol import UpstreamProtocol
 from stepsail.settings.model import Address
 
-HEALTH_CHECK_TIMEOUT = 0.25  # s
-MAX_HEALTH_CHECKS = 64  # running at once; further ones are reported as not sent
+# Seconds after which a health check that has not ended is given up.
+HEALTH_CHECK_TIMEOUT = 0.25
+# Largest number of health checks that run at once. Further health checks are reported as not sent.
+MAX_HEALTH_CHECKS = 64
 
 
 @dataclass(slots=True)
 class HealthCheckResult:
-    """Holds the state and result of a health check, updated while it runs."""
+    """Holds the state and result of a health check, updated while the check runs."""
 
     end: ExchangeEnd = ExchangeEnd.NOT_STARTED
     response: Response | None = None
@@ -27,7 +29,7 @@
 
 
 class HealthChecker:
-    """Sends the health checks that the router commands, and reports their outcomes to it."""
+    """Sends the health checks that the router commands, and reports their outcomes to the router."""
 
     def __init__(self, loop: Loop, host: DecisionHost, protocol: UpstreamProtocol) -> None:
         self.loop = loop
--- a/stepsail/proxy/json_client.py
+++ b/stepsail/proxy/json_client.py
@@ -18,11 +18,14 @@
 from stepsail.loop import Closed, Loop, Stream, TimedOut
 from stepsail.settings.model import Address
 
-if TYPE_CHECKING:  # slow to import; a caller that passes a schema has imported it already
+# The schema validator is slow to import. A caller that passes a schema has already imported it.
+if TYPE_CHECKING:
     from jsonschema import Draft202012Validator
 
-MAX_RESPONSE_BYTES = 4 << 20  # an endpoint list of thousands of entries fits
-CONNECT_TIMEOUT = 1.0  # s
+# Largest response in bytes; an endpoint list of thousands of entries fits.
+MAX_RESPONSE_BYTES = 4 << 20
+# Seconds after which an attempt to connect to the service is given up.
+CONNECT_TIMEOUT = 1.0
 
 
 class CallError(Exception):
@@ -38,7 +41,7 @@
 
 
 def encode_json_request(address: Address, method: bytes, target: bytes, message: Any) -> bytes:
-    """Encode a request with `message` as its JSON body; without a body if `message` is None."""
+    """Encode a request with `message` as its JSON body, or without a body if `message` is None."""
     headers = [(b"host", b"%s:%d" % (address[0].encode(), address[1]))]
     if message is None:
         return encode_request(method, target, headers)
@@ -105,7 +108,7 @@
         return self.connection
 
     def close(self) -> None:
-        """Close the connection; the next call makes a new one."""
+        """Close the connection; the next call makes a new connection."""
         if self.connection:
             self.connection.close()
             self.connection = None
--- a/stepsail/proxy/membership.py
+++ b/stepsail/proxy/membership.py
@@ -35,10 +35,15 @@
 from stepsail.proxy.token_bucket import TokenBucket
 from stepsail.settings import InstanceSettings
 
-# Datagrams handled per second, and in one burst. Further ones are dropped, as if they had been lost.
+# Largest number of membership protocol datagrams handled per second and in one burst. Further
+# datagrams are dropped, as if the network had lost them.
 PROTOCOL_RATE_LIMIT = 400.0
-ENVELOPE_RATE_LIMIT = 2000.0  # gossip and policies: each instance sends each judge one datagram per second
-MIN_POLICY_BYTES = 6  # kind of the receiver (1), sender's instance number (4), at least 1 byte of message
+# Largest number of gossip and policy datagrams handled per second and in one burst. Each instance sends each
+# judge one such datagram per second.
+ENVELOPE_RATE_LIMIT = 2000.0
+# Smallest size of a policy message: kind of the receiver (1 byte), sender's instance number (4 bytes) and at
+# least 1 byte of content.
+MIN_POLICY_BYTES = 6
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +123,7 @@
         return self.protocol.view() if self.protocol else None
 
     def listen(self) -> None:
-        """Run forever: take part in the protocol."""
+        """Run forever: take part in the membership protocol."""
         assert self.protocol
         local = self.protocol.local
         self.log.info("membership_started", number=local.instance, start=local.start_time)
@@ -128,7 +133,7 @@
             self._receive(data)
 
     def leave(self) -> None:
-        """Announce to the other instances that this one leaves."""
+        """Announce to the other instances that this instance leaves."""
         if self.protocol:
             self.protocol.leave(self.loop.now())
             self._handle_output()
@@ -136,7 +141,7 @@
     # Datagrams
 
     def send_gossip(self, instance: int, text: bytes) -> None:
-        """Send gossip to a present instance; it may be lost."""
+        """Send gossip to a present instance; the network may lose the datagram."""
         peer = self.peers.get(instance)
         if peer and self.protocol and not self.protocol.displaced:
             local = self.protocol.local
@@ -145,7 +150,7 @@
             )
 
     def send_policy_message(self, to: Address, body: bytes) -> None:
-        """Send a policy message to any address; it may be lost."""
+        """Send a policy message to any address; the network may lose the datagram."""
         self.socket.send(encode_envelope(POLICY_MAGIC, self.cluster_id, body), to)
 
     def _receive(self, data: bytes) -> None:
@@ -192,7 +197,8 @@
         self._handle_output()
 
     def _timer_expired(self) -> None:
-        if self.loop.now() >= self.timer_at:  # otherwise this timer has been replaced by another
+        # If the time has not come, this timer has been replaced by another timer.
+        if self.loop.now() >= self.timer_at:
             self._tick()
 
     def _handle_output(self) -> None:
@@ -244,7 +250,7 @@
         )
 
     def status_page(self) -> dict[str, Any]:
-        """Return the status page."""
+        """Return the content of the status page about the membership."""
         if self.protocol is None:
             return {"view": None}
         return {"view": membership_status(self.protocol, self.dropped, self.loop.now())}
--- a/stepsail/proxy/peer_gossip.py
+++ b/stepsail/proxy/peer_gossip.py
@@ -1,4 +1,4 @@
-"""Exchanges gossip with other instances: observed outcomes, stalled request classes, and verdicts.
+"""Exchanges gossip with other instances: outcomes of requests, stalled request classes, and verdicts.
 
 Messages are versioned msgpack datagrams of bounded size; they may be lost.
 """
@@ -19,15 +19,21 @@
 from stepsail.proxy.token_bucket import TokenBucket
 from stepsail.settings import InstanceSettings
 
-VERSION = 1  # of the message format
-# Kinds of messages, as sent on the wire.
+# Version of the format of gossip messages.
+VERSION = 1
+# Kinds of gossip messages, as sent on the wire.
 OUTCOMES = "seen"
 VERDICT = "found"
 STALLED_CLASSES = "stuck"
-MAX_OUTCOMES = 40  # per message, which keeps it under 1200 bytes; an address takes up to 22 bytes
-PEER_BURST = 200  # messages from one peer handled at once, at most
-PEER_RATE_LIMIT = 100.0  # messages from one peer handled per second, at most
-TIMESTAMP_STEP = 1e-6  # s between the timestamps of messages sent under the same clock reading
+# Largest number of servers' outcomes in a message. It keeps a message under 1200 bytes, because a server's
+# address takes up to 22 bytes.
+MAX_OUTCOMES = 40
+# Largest number of messages from one peer that are handled at once.
+PEER_BURST = 200
+# Largest number of messages from one peer that are handled per second.
+PEER_RATE_LIMIT = 100.0
+# Seconds between the timestamps of two messages that are sent under the same reading of the clock.
+TIMESTAMP_STEP = 1e-6
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -51,9 +57,9 @@
     messages are sent and received on the membership's port.
 
     Attributes:
-        last_received: Time of the latest message by peer and kind.
-        messages_sent: Messages sent since the start; keeps timestamps unique.
-        messages_malformed: Datagrams that were dropped as malformed.
+        last_received: When the latest message was sent, by peer and kind of message.
+        messages_sent: Number of messages sent since the start, which keeps timestamps unique.
+        messages_malformed: Number of datagrams that were dropped because they were malformed.
     """
 
     def __init__(
@@ -78,7 +84,7 @@
     # -- sending -----------------------------------------------------------------------------------------
 
     def gossip_outcomes(self, peer: int, outcomes: Sequence[tuple[ServerHandle, int, int, int]]) -> None:
-        """Send one peer the outcomes that this instance has observed."""
+        """Send one peer the outcomes of requests that this instance has observed."""
         for start in range(0, len(outcomes), MAX_OUTCOMES):
             batch = outcomes[start : start + MAX_OUTCOMES]
             self._send(OUTCOMES, [peer], [(server.address, *rest) for server, *rest in batch])
@@ -113,23 +119,25 @@
             self.receive_datagram(None, 0, self.socket.receive()[0])
 
     def receive_datagram(self, sender: int | None, incarnation: int, data: bytes) -> None:
-        """Handle one datagram.
+        """Handle one gossip datagram.
 
         Args:
-            sender: The instance that sent it, if it came over the membership's port; otherwise None.
+            sender: The instance that sent the datagram, if the datagram arrived on the membership's port;
+                otherwise None.
             incarnation: The sender's present incarnation; 0 if the sender is not known.
             data: The encoded message.
         """
         try:
             self.receive(msgspec.msgpack.decode(data), sender, incarnation)
-        except Exception:  # any host can send a datagram; malformed ones are dropped
+        # Any host can send a datagram, so malformed datagrams are dropped.
+        except Exception:
             self.messages_malformed += 1
 
     def receive(self, message: Any, sender: int | None, incarnation: int) -> None:
         """Pass one message to the router.
 
-        A message is dropped if it has another version, comes from an unknown sender or one that claims the
-        number of another instance, is late or repeated, or exceeds the rate limit.
+        A message is dropped if it has another version, comes from an unknown sender or from a sender that
+        claims the number of another instance, is late or repeated, or exceeds the rate limit.
         """
         version, kind, peer, sent_at, *fields = message
         if version != VERSION or peer not in self._peers() or peer == self.settings.router.instance_index:
--- a/stepsail/proxy/policy_service.py
+++ b/stepsail/proxy/policy_service.py
@@ -22,15 +22,19 @@
 from stepsail.proxy.policy_status import participant_status, voter_status
 from stepsail.settings import InstanceSettings
 
-# First byte of a policy message: which component receives it.
+# First byte of a policy message, which states the component that receives the message.
 TO_VOTER = b"k"
 TO_PARTICIPANT = b"u"
 BETWEEN_VOTERS = b"o"
-SENDER_BYTES = 4  # size of the sender's instance number, which follows the first byte
+# Size in bytes of the sender's instance number, which follows the first byte of a policy message.
+SENDER_BYTES = 4
 
-WRITE_RETRY_INTERVAL = 1.0  # s after a failed write
-MAX_PROPOSAL_TIMEOUT = 3600  # s
-MAX_NOTE_LENGTH = 200  # characters of a proposal's author and of its reason
+# Seconds after a failed write of the consensus state until the write is tried again.
+WRITE_RETRY_INTERVAL = 1.0
+# Longest timeout in seconds that an operator may give a policy proposal.
+MAX_PROPOSAL_TIMEOUT = 3600
+# Largest number of characters kept of a proposal's author, and of its reason.
+MAX_NOTE_LENGTH = 200
 
 HTTP_ACCEPTED = 202
 HTTP_BAD_REQUEST = 400
@@ -97,13 +101,14 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this instance may accept requests, as far as policies are concerned."""
+        """Whether the rules for policy changes allow this instance to accept requests."""
         return self.participant is None or self.participant.admitted
 
     def current_version(self) -> int | None:
         """Return the policy version under which a request is accepted now; None if no policy is valid.
 
-        Reads the clock itself, because the loop's last reading is out of date if the process was paused.
+        This method reads the clock itself, because the loop's last reading is out of date if the process was
+        paused.
         """
         assert self.participant
         return self.participant.version_at(self.loop.driver.now())
@@ -125,7 +130,7 @@
             self._handle_output()
 
     def propose(self, body: dict[str, Any]) -> ProposalResponse:
-        """Handle an operator's proposal."""
+        """Handle an operator's proposal of a new policy."""
         text = body.get("text")
         timeout = body.get("patience", 0.0)
         if not isinstance(text, str) or len(text.encode()) > MAX_TEXT_LENGTH:
@@ -145,7 +150,7 @@
         return ProposalResponse(HTTP_ACCEPTED, {"number": version})
 
     def status_page(self) -> dict[str, Any]:
-        """Return the status page."""
+        """Return the content of the status page about policies."""
         if self.participant is None:
             return {"policy": None}
         status = participant_status(self.participant)
@@ -156,7 +161,10 @@
     # Messages
 
     def _receive(self, data: bytes) -> None:
-        """Handle one datagram; drop it if it is malformed, or if its sender should be a voter and is not."""
+        """Handle one policy message.
+
+        The message is dropped if it is malformed, or if only a voter may send it and its sender is no voter.
+        """
         now = self.loop.now()
         receiver = data[:1]
         sender = int.from_bytes(data[1 : 1 + SENDER_BYTES], "big")
--- a/stepsail/proxy/release_control.py
+++ b/stepsail/proxy/release_control.py
@@ -1,4 +1,8 @@
-"""Calls release control: receives its state and counts by long polling, and sends it votes."""
+"""Calls release control: receives the release state and request counts, and sends votes.
+
+The state and the counts of requests and errors are received by long polling. A vote is this instance's
+verdict on a build at one stage of its release.
+"""
 
 from __future__ import annotations
 
@@ -16,10 +20,14 @@
 from stepsail.settings import InstanceSettings
 from stepsail.trail.entries import EntryKind
 
-LONG_POLL_WAIT = 5.0  # s for which release control may delay its response until something changes
-LONG_POLL_SLACK = 2.0  # s by which a call's timeout exceeds `LONG_POLL_WAIT`
-MAX_VOTES_IN_FLIGHT = 4  # further votes fail with `VoteReceipt.ERROR`
-JITTER_SALT = "conveyor"  # another value would change the delays drawn for a given seed
+# Longest time in seconds that release control may delay its response to wait for a change.
+LONG_POLL_WAIT = 5.0
+# Seconds by which the timeout of a call exceeds the time that release control may delay its response.
+LONG_POLL_SLACK = 2.0
+# Largest number of votes that are sent and not acknowledged yet. Further votes fail with `VoteReceipt.ERROR`.
+MAX_VOTES_IN_FLIGHT = 4
+# Another value would change the random retry delays that are drawn for a given seed.
+JITTER_SALT = "conveyor"
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,12 +41,12 @@
 
 
 class ReleaseControlClient:
-    """Passes the release state to the router and sends its votes.
+    """Passes the release state to the router and sends the router's votes to release control.
 
     Attributes:
-        last_state: The latest state that was received; None before the first.
-        votes_in_flight: Votes that were sent and not acknowledged yet.
-        state_known: Whether release control has reported a state.
+        last_state: The latest release state that was received; None before the first one.
+        votes_in_flight: Number of votes that were sent and not acknowledged yet.
+        state_known: Whether release control has reported a release state.
     """
 
     def __init__(
@@ -61,7 +69,10 @@
         self.state_known = False
 
     def watch(self) -> None:
-        """Run forever: receive updates. Sequence numbers keep a repeated update from being applied twice."""
+        """Run forever: receive updates of the release.
+
+        Sequence numbers keep a repeated update from being applied twice.
+        """
         client = JsonClient(self.loop, self.settings.release_control_address)
         backoff = Backoff(JITTER_SALT, self.seed)
         instance = self.settings.router.instance_index
@@ -120,7 +131,7 @@
         )
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Send a vote; its receipt is reported to the router."""
+        """Send a vote on a build to release control; the receipt of the vote is reported to the router."""
         self.loop.spawn(self._vote, build, stage, verdict, name="vote")
 
     def _vote(self, build: int, stage: int, verdict: Verdict) -> None:
@@ -133,7 +144,7 @@
                 receipt = RECEIPTS[response["receipt"]]
                 state = response.get("state")
             except CallError as error:
-                # Once any byte of the call was written, the vote may have been counted.
+                # Release control may have counted the vote if any byte of the call was written.
                 receipt = VoteReceipt.UNKNOWN if error.may_have_run else VoteReceipt.ERROR
             finally:
                 self.votes_in_flight -= 1
--- a/stepsail/proxy/upstream_pool.py
+++ b/stepsail/proxy/upstream_pool.py
@@ -12,7 +12,8 @@
 from stepsail.settings import InstanceSettings
 from stepsail.settings.model import Address
 
-SWEEP_INTERVAL = 1.0  # s between two checks of the idle connections
+# Seconds between two checks of the idle connections to servers.
+SWEEP_INTERVAL = 1.0
 
 
 class Upstream:
@@ -32,7 +33,10 @@
         self.open_connections = 0
 
     def take_idle(self, last_used_before: float) -> ClientConnection | None:
-        """Remove and return the most recently used connection that has been idle since a time, or None."""
+        """Remove and return the most recently used connection that was last used at or before a given time.
+
+        Return None if there is no such connection.
+        """
         for index in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[index]
             if connection.used_at <= last_used_before:
@@ -62,7 +66,10 @@
         self.idle_timeout = IdleTimeout(settings.idle_connection_ttl or settings.router.idle_timeout)
 
     def upstream(self, address: bytes) -> Upstream:
-        """Return the entry of a server; a new entry if the server is unknown or its location has changed."""
+        """Return the pool's entry for a server.
+
+        If the server is unknown or its location has changed, the pool makes a new entry.
+        """
         upstream = self.upstreams.get(address)
         location = self.protocol.locate(address)[0]
         if upstream is not None and upstream.location == location:
@@ -74,11 +81,11 @@
         return upstream
 
     def acquire(self, upstream: Upstream, deadline: float) -> ClientConnection | None:
-        """Return an idle connection or a new one; None if a connection limit is reached.
+        """Return an idle or a new connection to a server, or None if a connection limit is reached.
 
         A connection is not reused until it has been idle for `connection_reuse_delay`. If the server sends
-        surplus bytes after a response, they arrive within that time and the connection is closed; otherwise
-        they would be taken for the response to the next request.
+        surplus bytes after a response, they arrive within that time and the connection is closed. Without
+        this delay, the router would read the surplus bytes as the response to the next request.
 
         Raises:
             OSError: A new connection could not be made.
@@ -110,7 +117,7 @@
             raise
 
     def release(self, upstream: Upstream, connection: ClientConnection) -> None:
-        """Return a connection to the pool; close it if it is not usable or its server has a new location."""
+        """Return a connection to the pool; close it if it is unusable or its server has a new location."""
         if connection.usable and self.upstreams.get(upstream.address) is upstream:
             upstream.idle.append(connection)
         else:
@@ -122,7 +129,7 @@
         connection.close()
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest, to any server; return False if there is none."""
+        """Close the longest-idle connection to any server; return False if no connection is idle."""
         with_idle = [upstream for upstream in self.upstreams.values() if upstream.idle]
         if not with_idle:
             return False
@@ -154,5 +161,6 @@
                 idle = upstream.idle
                 while idle and (idle[0].used_at < oldest_use or idle[0].stale()):
                     self._close(upstream, idle.popleft())
-                if not upstream.open_connections:  # new servers get new addresses, so entries would pile up
+                # New servers get new addresses, so the entries of old servers would accumulate.
+                if not upstream.open_connections:
                     del self.upstreams[upstream.address]
--- a/stepsail/proxy/upstream_protocol.py
+++ b/stepsail/proxy/upstream_protocol.py
@@ -18,15 +18,18 @@
 from stepsail.settings import InstanceSettings
 from stepsail.settings.model import Address
 
-LOAD_REPORT_HEADER = b"endpoint-load-metrics"  # ORCA's header; its text format is `TEXT name=value, …`
-# Names of load report columns in the settings, and the ORCA metrics that they stand for.
+# Response header that carries an ORCA load report. Its text format is `TEXT name=value, …`.
+LOAD_REPORT_HEADER = b"endpoint-load-metrics"
+# Names of load report columns in the settings, and the names of the corresponding ORCA metrics.
 ORCA_NAMES = {
     "q": "named_metrics.queue",
     "rif": "named_metrics.inflight",
     "busy": "cpu_utilization",
     "lat_ms": "named_metrics.latency_ms",
 }
-REWRITTEN_HEADERS = (b"host", b"request-timeout")  # each hop sets its own values
+# Request headers that are not forwarded, because each hop sets its own values.
+REWRITTEN_HEADERS = (b"host", b"request-timeout")
+# Largest number of bytes of a load report that are read.
 MAX_REPORT_BYTES = 2000
 HEALTH_CHECK_TARGET = b"/.stepsail/load"
 
@@ -41,10 +44,16 @@
     bounds: ConnectionLimits
 
     def locate(self, server: bytes) -> tuple[Address, object]:
-        """Return a server's location, and a version that changes when it is replaced, draining or gone."""
+        """Return a server's location, and a version of the server.
+
+        The version changes when the server is replaced, draining or gone.
+        """
 
     def encode_attempt(self, request: Request, server: bytes, time_left: float) -> bytes:
-        """Encode a request to a server; of a streamed body, only the part that is already buffered."""
+        """Encode a request to a server.
+
+        If the request's body is streamed, only the part that is already buffered is encoded.
+        """
 
     def classify_outcome(
         self, end: ExchangeEnd, progress: Progress, response: Response | None
@@ -55,7 +64,10 @@
         """Return whether the response says that the request is invalid, so that no server would accept it."""
 
     def load_report(self, response: Response) -> tuple[float, ...]:
-        """Return the load report in a response, in the order of the settings' columns; empty without one."""
+        """Return the load report in a response, in the order of the settings' columns.
+
+        The report is empty if the response contains none.
+        """
 
     def response_headers(self, response: Response, server: bytes) -> Headers:
         """Return the headers of a served response that are sent to the client."""
@@ -64,7 +76,7 @@
         """Encode the request that asks a server for its load."""
 
     def health_check_report(self, response: Response) -> tuple[float, ...]:
-        """Return the load report in the response to a health check; empty without one."""
+        """Return the load report in the response to a health check, or () if it has none."""
 
 
 def split_address(server: bytes) -> Address:
@@ -74,7 +86,7 @@
 
 
 def orca_values(text: bytes) -> dict[str, float]:
-    """Return the names and values of a load report in text or JSON; empty if it is malformed."""
+    """Return the metrics of a load report in text or JSON, by name; none if the report is malformed."""
     format_name, _, rest = text[:MAX_REPORT_BYTES].decode("latin-1").partition(" ")
     try:
         if format_name == "JSON":
@@ -98,7 +110,10 @@
 
 
 class DaemonUpstreamProtocol:
-    """Implements the daemon's protocol: servers are known by address, hop-by-hop headers not forwarded."""
+    """Implements the daemon's protocol for servers.
+
+    The daemon identifies servers by address and does not forward hop-by-hop headers.
+    """
 
     def __init__(self, settings: InstanceSettings) -> None:
         self.settings = settings
@@ -108,7 +123,7 @@
         self.via = b"1.1 umpire-%d" % settings.router.instance_index
 
     def locate(self, server: bytes) -> tuple[Address, object]:
-        """Return a server's address; the version is None, as an address always means the same server."""
+        """Return a server's address; the version is None because an address always means the same server."""
         return split_address(server), None
 
     def encode_attempt(self, request: Request, server: bytes, time_left: float) -> bytes:
@@ -133,7 +148,10 @@
         return False
 
     def load_report(self, response: Response) -> tuple[float, ...]:
-        """Return the values in the order of the settings' columns; empty unless all are numbers."""
+        """Return the reported load values in the order of the settings' columns.
+
+        The result is empty unless the report has a number for every column.
+        """
         columns = self.settings.router.load_report_columns
         if not columns:
             return ()
