--- a/stepsail/proxy/admission.py
+++ b/stepsail/proxy/admission.py
@@ -1,4 +1,7 @@
-"""Decides which requests are rejected before they reach the router, and under which policy others run."""
+"""Decides which requests are rejected before they reach the router, and which policy the accepted ones have.
+
+An accepted request runs under the policy that is in force at its acceptance.
+"""
 
 from __future__ import annotations
 
@@ -26,13 +29,13 @@
 
 
 def replace_policy_header(headers: Headers, policy_version: int) -> Headers:
-    """Return the headers with this policy version and no other one."""
+    """Return the headers with every policy header replaced by a single one that has `policy_version`."""
     other_headers = [pair for pair in headers if pair[0] != POLICY_HEADER]
     return [*other_headers, (POLICY_HEADER, b"%d" % policy_version)]
 
 
 class RequestAdmission:
-    """Rejects requests that must not reach the router, so that nothing has run for them."""
+    """Rejects requests that must not reach the router, so that no server has run any of them."""
 
     def __init__(
         self, settings: InstanceSettings, host: DecisionHost, audit: RequestAudit, state: ServingState
@@ -60,7 +63,7 @@
         return RejectionReason.DEADLINE if in_flight.deadline <= now else None
 
     def retry_after(self, reason: RejectionReason) -> float:
-        """Return the seconds that a rejected client is told to wait."""
+        """Return how many seconds a rejected client is told to wait before it sends its request again."""
         if reason is RejectionReason.NO_POLICY and self.policy_gate is not None:
             return self.policy_gate.retry_after()
         return self.settings.router.max_retry_after
--- a/stepsail/proxy/application.py
+++ b/stepsail/proxy/application.py
@@ -25,7 +25,8 @@
 from stepsail.settings import InstanceSettings
 from stepsail.trail.entries import EntryKind
 
-# Seconds that startup waits for the state of release control. After that the instance serves without it.
+# Longest time in seconds that startup waits for the state of release control. If the state has not arrived
+# by then, the instance starts to serve without it.
 RELEASE_STATE_TIMEOUT = 1.0
 SEED_BYTES = 6
 UNKNOWN_BUILD = -1  # stands for the build of a server whose build is not known
@@ -91,12 +92,12 @@
     # -- commands of the router --------------------------------------------------------------------------
 
     def send_attempt(self, in_flight: InFlightRequest, server: ServerHandle, deadline: float) -> Task:
-        """Start an attempt, and count it as exposure if its server runs the canary build."""
+        """Start an attempt; if its server runs the canary build, count the attempt as exposure to it."""
         self.trail_recorder.attempt_sent(getattr(server, "build", UNKNOWN_BUILD))
         return super().send_attempt(in_flight, server, deadline)
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Record a vote with its evidence in the audit trail, and send it to release control."""
+        """Record a vote on a build, with its evidence, in the audit trail, and send it to release control."""
         self.trail_recorder.record(
             EntryKind.VOTE,
             build=build,
@@ -165,9 +166,9 @@
             tasks.append(spawn(self.membership.listen, name="membership", essential=True))
 
     def _open_listener(self) -> None:
-        """Open the listener once there are endpoints and the policy service is ready.
+        """Open the listener once endpoints are known and the policy service is ready.
 
-        The state of release control is waited for as well, but for RELEASE_STATE_TIMEOUT at most.
+        This method also waits for the state of release control, but at most RELEASE_STATE_TIMEOUT seconds.
         """
         self.endpoint_discovery.has_endpoints.wait(reason="the endpoint list")
         deadline = self.loop.now() + RELEASE_STATE_TIMEOUT
--- a/stepsail/proxy/client_protocol.py
+++ b/stepsail/proxy/client_protocol.py
@@ -40,7 +40,7 @@
         half_close_is_disconnect: Whether a client that closes its side of the connection counts as
             disconnected; else it may still read its response.
         late_response_grace: Seconds after the client's deadline in which a response is still written; after
-            that the connection is reset, as the client no longer waits.
+            that the connection is reset, because the client no longer waits.
         close_after_client_error: Whether the connection is closed after a request that could not be accepted.
     """
 
@@ -61,7 +61,7 @@
         """Encode a rejection: nothing has run, so the client may safely send the request again."""
 
     def failure_response(self, in_flight: InFlightRequest, timed_out: bool) -> Response:
-        """Encode a failure, which promises nothing, as the request may have run.
+        """Encode a failure, which promises the client nothing because a server may have run the request.
 
         Args:
             in_flight: The request.
--- a/stepsail/proxy/command_executor.py
+++ b/stepsail/proxy/command_executor.py
@@ -23,7 +23,7 @@
         """Close the idle connections to a server."""
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Send a vote to release control."""
+        """Send release control a vote to promote, pause or roll back a build."""
 
     def poll_endpoints(self) -> None:
         """Request the endpoint list once."""
--- a/stepsail/proxy/connection_reaper.py
+++ b/stepsail/proxy/connection_reaper.py
@@ -1,4 +1,4 @@
-"""Closes client connections on which no answer is owed, to make room for others or to shut down."""
+"""Closes client connections on which no answer is owed, to make room for new clients or to shut down."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 from stepsail.loop import Loop, Stream, Task
 from stepsail.proxy.counters import ConnectionClose, Counters
 
-FIRST_BYTE_GRACE = 0.05  # s for a new client to send its first byte before it may be closed to make room
-WHOLE_REQUEST_GRACE = 0.5  # s for a request to arrive completely before it may be rejected to make room
-# Seconds from connecting in which a client may still send its first byte during a shutdown. Waiting longer
-# would only delay the exit.
+# Seconds that a new client has to send its first byte before its connection may be closed to make room.
+FIRST_BYTE_GRACE = 0.05
+# Seconds that a request has to arrive completely before it may be rejected to make room for a new client.
+WHOLE_REQUEST_GRACE = 0.5
+# Seconds after connecting during which a client may still send its first byte while this process shuts down.
+# Waiting longer would only delay the exit of the process.
 SHUTDOWN_FIRST_BYTE_GRACE = 0.6
 
 
@@ -31,7 +33,7 @@
 
 
 class ConnectionReaper:
-    """Tracks the connections that wait for a request, and closes those on which no byte of it has arrived.
+    """Tracks connections that wait for a request; closes those on which no byte of a request has arrived.
 
     Closing any other connection could leave a complete request unanswered.
 
@@ -51,9 +53,9 @@
         """Close one connection to make room for a new client; return False if none may be closed now.
 
         This guards against clients that connect by the hundreds and send nothing, or send one request and
-        stay. The connection that has waited longest for its first byte is closed, else the one that has been
-        idle longest. If all have sent part of a request, the slowest one gets a 503. That could harm a slow
-        client among many new ones.
+        stay. The connection that has waited longest for its first byte is closed. If there is none, the
+        connection that has been idle longest is closed. If all clients have sent part of a request, the
+        slowest client gets a 503 response. That could harm a slow client among many new clients.
         """
         now = self.loop.now()
         if self._close_silent(
@@ -73,7 +75,10 @@
         return False
 
     def close_for_shutdown(self) -> None:
-        """Close connections that are silent between two requests, or since they connected some time ago."""
+        """Close connections that are silent between two requests, or silent since they were made.
+
+        A new connection is closed only if it was made at least SHUTDOWN_FIRST_BYTE_GRACE seconds ago.
+        """
         now = self.loop.now()
         self._close_silent(self.idle, now, ConnectionClose.SHUTTING_DOWN)
         self._close_silent(
--- a/stepsail/proxy/counters.py
+++ b/stepsail/proxy/counters.py
@@ -1,4 +1,4 @@
-"""Counts of requests, attempts and closed connections, each by its outcome or reason. No I/O.
+"""Counts requests, attempts and closed connections, each according to its outcome or reason, without I/O.
 
 Log lines about single events are limited in number and may be dropped; these counts are complete.
 """
@@ -25,7 +25,10 @@
 
 @dataclass
 class Counters:
-    """Counts since the last report; at most one number for each outcome or reason."""
+    """Holds the counts of requests, attempts and closed connections since the counts were last collected.
+
+    There is at most one number for each outcome or reason.
+    """
 
     requests: Counter[str] = field(default_factory=Counter)
     attempts: Counter[str] = field(default_factory=Counter)
@@ -36,7 +39,10 @@
         self.closes[reason.name.lower()] += 1
 
     def collect_and_reset(self) -> dict[str, dict[str, int]]:
-        """Return the counts since the last call by kind, without the kinds that have none, and reset them."""
+        """Return the counts since the last call, and reset them.
+
+        The counts are grouped into requests, attempts and closes; a group without counts is left out.
+        """
         kinds = {"requests": self.requests, "attempts": self.attempts, "closes": self.closes}
         collected = {kind: dict(sorted(counts.items())) for kind, counts in kinds.items() if counts}
         for counts in kinds.values():
--- a/stepsail/proxy/daemon_client_protocol.py
+++ b/stepsail/proxy/daemon_client_protocol.py
@@ -1,4 +1,8 @@
-"""The daemon's client-side protocol: request classes by route, time left in a header, answers in JSON."""
+"""Implements the client-side protocol of the daemon.
+
+A request's route determines its request class, a header states how long the client still waits, and the
+daemon's own answers are in JSON.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +30,9 @@
 JSON_CONTENT_TYPE = (b"content-type", b"application/json")
 REJECTION_BODY = b'{"answer":"denied","again":"trying again is harmless","stay_away":%.3f}\n'
 FAILURE_BODY = b'{"answer":"errored","again":"nothing is promised: it may have run"}\n'
-LATE_RESPONSE_GRACE = 0.5  # s after a request's deadline in which its client may still read a response
-MAX_HASH_KEY_BYTES = 64  # longest key that BLAKE2b accepts
+# Seconds after a request's deadline during which its client may still read a response.
+LATE_RESPONSE_GRACE = 0.5
+MAX_HASH_KEY_BYTES = 64  # length in bytes of the longest secret key that the hash function BLAKE2b accepts
 
 Page = Callable[[], Any]
 ProposePolicy = Callable[[dict[str, Any]], tuple[int, dict[str, Any]]]
@@ -90,7 +95,7 @@
         """Do nothing: this protocol keeps no state of requests."""
 
     def rejection_response(self, in_flight: InFlightRequest) -> Response:
-        """Encode a 503 response; `Retry-After` is in whole seconds, the body has the fraction as well."""
+        """Encode a 503 response; `Retry-After` is rounded up to whole seconds, the time in the body is not."""
         retry_after = b"%d" % math.ceil(in_flight.retry_after) if in_flight.retry_after > 0 else b"0"
         return Response(
             503, [JSON_CONTENT_TYPE, (b"retry-after", retry_after)], REJECTION_BODY % in_flight.retry_after
@@ -160,9 +165,10 @@
         return Response(202, [])
 
     def _hash(self, key: bytes) -> int:
-        """Hash a key to the number by which the router knows it, which reveals nothing without the secret.
+        """Hash a request's key to the number that the router uses in place of the key.
 
-        Equal keys give equal numbers; no key gives 0, which stands for a request without a key.
+        Without the secret, the number reveals nothing about the key. Equal keys give equal numbers. No key is
+        hashed to 0, because 0 stands for a request without a key.
         """
         digest = hashlib.blake2b(key, digest_size=8, key=self.hash_key).digest()
         return int.from_bytes(digest, "big") or 1
--- a/stepsail/proxy/decision_host.py
+++ b/stepsail/proxy/decision_host.py
@@ -1,8 +1,8 @@
-"""The boundary between sockets and decisions: all events for the router and all commands from it.
+"""The boundary between sockets and the router: passes events to the router and starts its commands.
 
-Each event is passed to the router by `call_router`, one after another, each with one reading of the clock. A
-command of the router is started during the router's call but never completed in it, so the router is never
-reentered.
+`call_router` passes the events to the router one after another, and reads the clock once for each event. A
+command that the router issues while it handles an event is started at once, but is never completed before
+the router has returned. The router is therefore never reentered.
 """
 
 from __future__ import annotations
@@ -29,7 +29,8 @@
 from stepsail.proxy.in_flight import Attempt, FinalAnswer, InFlightRequest
 from stepsail.settings import InstanceSettings
 
-MAX_PENDING_TIMERS = 100_000  # far more than the router sets
+# Largest number of the router's timers that may be pending at a time; the router normally sets far fewer.
+MAX_PENDING_TIMERS = 100_000
 
 
 class Logger(Protocol):
@@ -228,7 +229,8 @@
             return
         task = in_flight.attempts[number].task
         task.cancel()
-        if not task.started:  # a task that never runs does not report its end, so that is done here
+        # A task that was cancelled before it started cannot report the end of its attempt.
+        if not task.started:
             self.loop.call_later(
                 0.0,
                 lambda: self.attempt_ended(in_flight, number, AttemptOutcome.NOT_SENT, 0.0, (), None),
@@ -242,7 +244,7 @@
             self.log_unserved("request_rejected", in_flight, handle.rejection_reason)
 
     def fail(self, handle: RequestHandle) -> None:
-        """Fail a request: it may have run, so the client is promised nothing."""
+        """Fail a request; the client is promised nothing, because a server may have run the request."""
         in_flight = self._in_flight_request(handle)
         if in_flight.finish(FinalAnswer.FAILED):
             self.log_unserved("request_failed", in_flight, handle.rejection_reason)
@@ -268,7 +270,7 @@
         self.loop.call_later(delay, fire)
 
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Log a vote on a build and send it to release control."""
+        """Log a vote to promote, pause or roll back a build, and send the vote to release control."""
         self.log.info("vote_cast", build=build, stage=stage, verdict=verdict.name.lower())
         self.executor.cast_vote(build, stage, verdict)
 
@@ -301,6 +303,6 @@
         self.executor.gossip_stalled_classes(request_classes)
 
     def log_decision(self, text: str) -> None:
-        """Log a decision with its evidence; a vote's entry in the audit trail contains the latest one."""
+        """Log a decision with its evidence; a vote's audit trail entry contains the latest such text."""
         self.last_decision_text = text
         self.log.info("decision", text=text)
--- a/stepsail/proxy/idle_timeout.py
+++ b/stepsail/proxy/idle_timeout.py
@@ -2,20 +2,23 @@
 
 A server, or a device on the path to it, may drop idle connections sooner than announced. A request written to
 such a connection is reset and may have run. Without this module, up to half of all reused connections would
-break that way. The price, where breaks only seemed to depend on the idle time: more new connections until the
-observations have decayed.
+break that way. If breaks only seem to depend on the idle time, the proxy makes more new connections than
+necessary until the observations have decayed.
 """
 
 from __future__ import annotations
 
-# Uses are counted by idle time in buckets, each half of the one before; the shortest is a four-thousandth of
-# the configured limit.
+# Number of buckets in which uses of connections are counted according to idle time. The idle times of each
+# bucket are half those of the bucket before; the shortest is a four-thousandth of the configured limit.
 BUCKET_COUNT = 12
-NEW_CONNECTION = BUCKET_COUNT  # index of the counts of connections that were just made
-HALF_LIFE = 4.0  # s in which observations lose half their weight, so that the end of a fault is noticed
-MIN_BREAKS = 4.0  # breaks in a bucket before its idle times may be avoided; fewer may be chance
-# Share of breaks by which a bucket must exceed new connections: a failing server breaks reused and new ones
-# alike.
+NEW_CONNECTION = BUCKET_COUNT  # index of the counts of uses and breaks of connections that were just made
+# Seconds in which observations lose half their weight, so that the end of a fault is noticed.
+HALF_LIFE = 4.0
+# Smallest number of broken connections in a bucket at which its idle times may be avoided. Fewer breaks may
+# be due to chance.
+MIN_BREAKS = 4.0
+# The share of broken connections in a bucket must exceed the share among new connections by this much before
+# the bucket's idle times are avoided, because a failing server breaks reused and new connections alike.
 MIN_EXCESS_BREAK_RATE = 0.1
 
 
@@ -23,9 +26,10 @@
     """Counts connections that broke before the first byte of a response, by how long they had been idle.
 
     Attributes:
-        configured: The configured limit in seconds.
-        uses: Uses of connections by bucket, and at NEW_CONNECTION those of new connections.
-        breaks: Uses in which the connection broke before the first byte of a response, by the same index.
+        configured: The configured limit on the idle time of a reused connection, in seconds.
+        uses: Number of uses of connections in each idle-time bucket, and of new ones at NEW_CONNECTION.
+        breaks: Number of uses in which the connection broke before the first byte of a response, with the
+            same indexes as `uses`.
     """
 
     def __init__(self, configured: float) -> None:
@@ -52,8 +56,8 @@
     def safe_idle_time(self, now: float) -> float:
         """Return the longest safe idle time in seconds.
 
-        That is the lower bound of the shortest idle times at which connections break more often than new ones
-        do, or the configured limit if there are none.
+        That is the lower bound of the bucket with the shortest idle times at which connections break more
+        often than new connections do. If there is no such bucket, it is the configured limit.
         """
         self._decay(now)
         new_uses = self.uses[NEW_CONNECTION]
--- a/stepsail/proxy/in_flight.py
+++ b/stepsail/proxy/in_flight.py
@@ -12,7 +12,7 @@
 
 
 class FinalAnswer(Enum):
-    """What a client got for an accepted request; each request gets exactly one of these."""
+    """The kind of answer that a client gets to a request; each request gets exactly one final answer."""
 
     SERVED = "a server's response"
     REJECTED = "a response that says that nothing ran, so that sending again is harmless"
@@ -45,12 +45,13 @@
 
     Attributes:
         number: Sequence number of the request in this process, from 0.
-        deadline: When the router must have answered; before `client_deadline`, to leave time for writing.
+        deadline: Time by which the router must have answered. It is earlier than `client_deadline`, to leave
+            time for writing the answer.
         client_deadline: When the client stops waiting.
         request_id: The client's id of the request, or `number` if it has none.
         finished: Whether the final answer is decided; attempts may still be open.
         streaming_attempt: Index of the attempt whose response is forwarded to the client as it arrives.
-        retry_after: Seconds that a rejection tells the client to wait.
+        retry_after: Seconds that a rejection tells the client to wait before it sends the request again.
         client_connected: Checks the connection and returns whether the client is still connected.
         policy_version: Version of the policy under which the request was accepted; None without a policy.
         waiter: Wakes the task that waits for the final answer.
--- a/stepsail/proxy/listener.py
+++ b/stepsail/proxy/listener.py
@@ -19,8 +19,8 @@
 class ClientListener:
     """Serves up to `max_client_connections` connections and up to `max_in_flight` requests at a time.
 
-    A request beyond the latter limit is rejected at once, before it reaches the router, so that nothing has
-    run.
+    If `max_in_flight` requests are in flight, a further request is rejected at once. It does not reach the
+    router, so that no server has run it.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         """Serve one client's connection until it ends."""
         try:
             self.host.counters.count_close(self._serve_requests(stream))
-        except Closed:  # closed by the reaper, which counted it
+        except Closed:  # the connection reaper closed the connection and has counted the close
             raise
         except OSError:
             self.host.counters.count_close(ConnectionClose.IO_ERROR)
--- a/stepsail/proxy/request_handler.py
+++ b/stepsail/proxy/request_handler.py
@@ -16,14 +16,15 @@
 from stepsail.proxy.response_writer import ResponseWriter
 from stepsail.settings import InstanceSettings
 
-# Seconds between checks that a client which has pipelined more bytes than are read ahead is still connected.
+# Interval in seconds between checks of whether a client is still connected. Only a client that has pipelined
+# more bytes than the proxy reads ahead is checked in this way.
 DISCONNECT_POLL_INTERVAL = 0.05
 
 
 class RequestHandler:
     """Accepts or rejects a request, waits for the router's final answer and has it written.
 
-    Each accepted request gets exactly one final answer: the router's, or a failure if the router's is late.
+    Each accepted request gets exactly one final answer: the router's answer, or a failure if that is late.
     """
 
     def __init__(
@@ -56,9 +57,10 @@
             Why the connection ends with this request; None if it stays open.
         """
         now = self.loop.now()
-        # A request may have lain unread while this process was paused, or in a full backlog, so its age is
-        # that of its bytes. Not every operating system reports that age; the loop's own delays are then used
-        # instead. The age is only subtracted, so it never gives a client more time.
+        # A request may have lain unread while this process was paused, or in a full backlog. Its age is
+        # therefore counted from the arrival of its bytes. Where the operating system does not report that
+        # time, the event loop's own delay is used instead. The age is only subtracted from the time left, so
+        # it never gives a client more time.
         age = stream.seconds_since_receive() or self.loop.unread_age()
         client_deadline = now + parsed.time_left - age
         if client_deadline + self.protocol.late_response_grace <= now:
@@ -119,9 +121,10 @@
         """Wait for the final answer; return False if the client disconnected first.
 
         The router must answer by the request's deadline. If it does not, because of a fault in the router or
-        a pause of this process, the request fails: it may have run, so the client is promised nothing.
+        a pause of this process, the request fails. The failure promises the client nothing, because a server
+        may have run the request.
         """
-        # The other half of the slack is for writing the answer.
+        # The router may be late by half of `answer_slack`. The other half is reserved for writing the answer.
         force_answer_at = in_flight.deadline + self.settings.answer_slack / 2
         while not in_flight.finished:
             waiter = self.loop.waiter()
--- a/stepsail/proxy/response_writer.py
+++ b/stepsail/proxy/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes responses to clients, each completely and within the client's time; else resets the connection."""
+"""Writes responses to clients; resets a connection if its response cannot be written completely in time."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 from stepsail.proxy.serving_state import ServingState
 from stepsail.settings import InstanceSettings
 
-LATE_WRITE_TIMEOUT = 0.05  # s at least to write a response, even if its client may be gone
-DEADLINE_MARGIN = 0.1  # s before a request's deadline; a later failure is reported as a timeout
-BAD_REQUEST_TIMEOUT = 1.0  # s to write the response to an invalid request
-LINGER_TIMEOUT = 0.5  # s in which bytes that arrive after the last response are read and discarded
-MAX_LINGER_BYTES = 4 << 20  # read and discarded at most
+# Shortest timeout in seconds for writing a response, used even if the client may have disconnected.
+LATE_WRITE_TIMEOUT = 0.05
+# A request that fails within this many seconds before its deadline, or later, is reported as timed out.
+DEADLINE_MARGIN = 0.1
+BAD_REQUEST_TIMEOUT = 1.0  # timeout in seconds for writing the response to an invalid request
+# Longest time in seconds for which bytes that arrive after the last response are read and discarded.
+LINGER_TIMEOUT = 0.5
+MAX_LINGER_BYTES = 4 << 20  # largest number of bytes read and discarded after the last response
 
 
 class ResponseWriter:
@@ -178,9 +181,10 @@
         return encode_response(response.status, response.headers, response.body, keep_alive, head_only)
 
     def _lingering_close(self, stream: Stream) -> None:
-        """Send the end of the stream, then read and discard what the client still sends, within bounds.
+        """Send the end of the stream, then read and discard what the client still sends.
 
         Closing a connection with unread bytes resets it, maybe before the client has read the response.
+        Reading stops after LINGER_TIMEOUT seconds or after MAX_LINGER_BYTES bytes.
         """
         stream.half_close()
         with contextlib.suppress(OSError), self.loop.timeout(LINGER_TIMEOUT):
--- a/stepsail/proxy/serving_process.py
+++ b/stepsail/proxy/serving_process.py
@@ -20,9 +20,10 @@
 from stepsail.proxy.upstream_protocol import UpstreamProtocol
 from stepsail.settings import InstanceSettings
 
-POLL_INTERVAL = 0.02  # s between checks of a condition that no event signals
-COUNTERS_INTERVAL = 5.0  # s between two log lines with the counts of requests, attempts and closes
-# Seconds before the end of the shutdown timeout at which requests still in flight are failed.
+POLL_INTERVAL = 0.02  # seconds between two checks of a condition that no event signals
+# Seconds between two log lines with the counts of requests, attempts and closed connections.
+COUNTERS_INTERVAL = 5.0
+# Requests that are still in flight this many seconds before the end of the shutdown timeout are failed.
 FINAL_ANSWER_MARGIN = 0.1
 EXIT_ALL_ANSWERED = 0
 EXIT_UNANSWERED = 3  # the shutdown timeout expired before every request was answered
@@ -82,7 +83,7 @@
 
     @abstractmethod
     def cast_vote(self, build: int, stage: int, verdict: Verdict) -> None:
-        """Send a vote to release control."""
+        """Send release control a vote to promote, pause or roll back a build."""
 
     @abstractmethod
     def poll_endpoints(self) -> None:
@@ -148,10 +149,12 @@
         """Wait until all requests are answered and all client connections are closed.
 
         FINAL_ANSWER_MARGIN before the shutdown timeout expires, each request that is still in flight fails,
-        so that no client is left without an answer. A failure promises nothing, as the request may have run.
+        so that no client is left without an answer. A failure promises the client nothing, because a server
+        may have run the request.
 
         Returns:
-            Whether all was done by FINAL_ANSWER_MARGIN before the timeout, so that no request had to fail.
+            Whether all requests were answered and all client connections were closed FINAL_ANSWER_MARGIN
+            before the timeout, so that no request had to fail.
         """
         deadline = stop_requested_at + self.settings.shutdown_timeout
         if self._wait_until_finished(deadline - FINAL_ANSWER_MARGIN):
@@ -179,18 +182,18 @@
     # -- log ---------------------------------------------------------------------------------------------
 
     def log_counters_periodically(self) -> NoReturn:
-        """Log the counts at a fixed interval; never returns."""
+        """Log the counts of requests, attempts and closes every COUNTERS_INTERVAL seconds; never return."""
         while True:
             self.loop.sleep(COUNTERS_INTERVAL)
             self.log_counters()
 
     def log_counters(self) -> None:
-        """Log the counts since the last such log line, if there are any."""
+        """Log the counts of requests, attempts and closes since the last such log line, if any is nonzero."""
         if counts := self.host.counters.collect_and_reset():
             self.log.info("counters", **counts)
 
     def log_shutdown(self) -> None:
-        """Log the remaining counts, and the number of requests by final answer."""
+        """Log the counts not logged yet, and the number of requests for each kind of final answer."""
         self.log_counters()
         final_answers = {answer.name.lower(): count for answer, count in self.host.final_answers.items()}
         self.log.info(
--- a/stepsail/proxy/trail_recorder.py
+++ b/stepsail/proxy/trail_recorder.py
@@ -16,8 +16,9 @@
 from stepsail.trail.entries import EntryKind, answer_digest
 
 RECEIPT_HEADER = b"stepsail-receipt"
-MAX_ATTEMPTS_RECORDED = 20  # per request
-STREAMED_DIGEST = "flow"  # recorded instead of a digest for a body that is forwarded as it arrives
+MAX_ATTEMPTS_RECORDED = 20  # largest number of attempts that the audit trail records for one request
+# Recorded in place of a digest if the response body is forwarded as it arrives.
+STREAMED_DIGEST = "flow"
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,8 +39,9 @@
 
     Attributes:
         canary: The canary build; None if there is none.
-        canary_attempts: Attempts at servers of the canary build in the current window.
-        accepted: Requests accepted in the current window.
+        canary_attempts: Number of attempts at servers that run the canary build or a later build, in the
+            current exposure window.
+        accepted: Number of requests accepted in the current exposure window.
     """
 
     def __init__(self, loop: Loop, settings: InstanceSettings, log: Logger) -> None:
@@ -84,7 +86,10 @@
             self.canary_attempts += 1
 
     def record_exposure(self) -> None:
-        """Record one entry for each window with a canary build, unless the window was idle; never returns."""
+        """Record one entry at the end of each exposure window while there is a canary build; never return.
+
+        No entry is recorded for a window without attempts at the canary build and without accepted requests.
+        """
         while True:
             self.loop.sleep(self.settings.router.exposure_window)
             if self.canary is not None and (self.canary_attempts or self.accepted):
@@ -109,8 +114,8 @@
     ) -> bool:
         """Record a response before its first byte is sent, and wait for the disk until `deadline` at most.
 
-        A response that is only recorded after that has an ANSWER entry but no SENT entry, and the client gets
-        no response.
+        A response that is recorded only after `deadline` has an ANSWER entry but no SENT entry, and the
+        client gets no response.
 
         Returns:
             Whether the response may be sent.
--- a/stepsail/proxy/upstream_attempt.py
+++ b/stepsail/proxy/upstream_attempt.py
@@ -31,7 +31,7 @@
     )
 )
 """Errors of `socket` and `connect` caused by this machine: it lacks descriptors, memory, ports or a route."""
-MAX_QUEUED_PARTS = 4  # parts of a streamed response buffered for a slow client
+MAX_QUEUED_PARTS = 4  # largest number of parts of a streamed response that are buffered for a slow client
 
 
 class StreamedBody:
@@ -107,8 +107,8 @@
 
     Attributes:
         server_version: Version that `UpstreamProtocol.locate` returned when the router issued the command.
-        commanded_at: Clock reading under which the router issued the command.
-        deadline: When the attempt ends at the latest.
+        commanded_at: Clock reading that the router had when it issued the command for this attempt.
+        deadline: Time at which the attempt ends at the latest.
     """
 
     sender: AttemptSender
@@ -141,7 +141,8 @@
         load_report = protocol.load_report(response) if response else ()
         if response is not None:
             if protocol.is_client_error(response):
-                # No other server would accept the request either: the router is told that it is finished.
+                # No other server would accept the request either. It is therefore finished as failed, and
+                # the router is told that the request is finished.
                 in_flight.finish(FinalAnswer.FAILED)
             if outcome is AttemptOutcome.SERVED and self.number != in_flight.streaming_attempt:
                 response.headers = protocol.response_headers(response, self.upstream.address)
@@ -218,15 +219,17 @@
         the same key.
 
         This process may also have been paused since the router issued the command. The endpoint list, the
-        exposure limit, the windows or the key window behind that command may then have expired, and newer
-        messages may not have been read yet. A command is therefore valid for the drain grace, or for the
-        connect timeout if that is longer, and the router is asked again. The drawback: where connecting takes
-        longer than the drain grace, an attempt may be sent on a decision that is older than the grace.
+        exposure limit, the windows or the key window that the router relied on may then have expired, and
+        newer messages may not have been read yet. A command is therefore valid only for the drain grace period, or
+        for the connect timeout if that is longer, and the router is asked again. The drawback is that, if
+        connecting takes longer than the drain grace period, an attempt may be sent because of a decision that
+        is older than that period.
         """
         host = self.sender.host
         settings = self.sender.settings
         if not self.in_flight.finished and not self.in_flight.client_connected():
-            host.client_disconnected(self.in_flight)  # its close had arrived, but was not processed yet
+            # The client's close of the connection had arrived, but had not been processed yet.
+            host.client_disconnected(self.in_flight)
         command_expires_at = self.commanded_at + max(settings.router.drain_grace, settings.connect_timeout)
         return (
             not self.in_flight.finished
